--- /dev/null
+++ b/scripts/checkUpgrade.mjs
@@ -0,0 +1,35 @@
+/**
+ * Runs a build of an earlier release beside this one and checks that they
+ * understand each other: as routers, as gateways, and on what the earlier one
+ * left behind. Both folders need `npm ci`, which builds.
+ *
+ *   node scripts/checkUpgrade.mjs FOLDER-OF-THE-EARLIER-RELEASE
+ */
+import { resolve } from 'node:path'
+import { fileURLToPath } from 'node:url'
+import { checkGateways } from './upgrade/checkGateways.mjs'
+import { checkRouters } from './upgrade/checkRouters.mjs'
+import { endProcesses } from './upgrade/processes.mjs'
+
+const [earlierFolder] = process.argv.slice(2)
+if (earlierFolder === undefined) {
+  console.error('usage: node scripts/checkUpgrade.mjs FOLDER-OF-THE-EARLIER-RELEASE')
+  process.exit(2)
+}
+
+const builds = { old: resolve(earlierFolder), new: fileURLToPath(new URL('..', import.meta.url)) }
+const results = []
+const check = (name, holds, detail = '') => {
+  results.push(holds)
+  console.log(`${holds ? 'holds' : 'FAILS'}: ${name}${detail === '' ? '' : ` (${detail})`}`)
+}
+
+try {
+  await checkRouters(builds, check)
+  await checkGateways(builds, check)
+} finally {
+  await endProcesses()
+}
+const failed = results.filter((holds) => !holds).length
+console.log(`${results.length - failed} passed, ${failed} failed`)
+process.exit(failed === 0 ? 0 : 1)
--- /dev/null
+++ b/scripts/upgrade/checkRouters.mjs
@@ -0,0 +1,145 @@
+/** Routers of both builds in one fleet, then the new build alone on what the old one stored. */
+import { createHash } from 'node:crypto'
+import { mkdtempSync, rmSync, writeFileSync } from 'node:fs'
+import { tmpdir } from 'node:os'
+import { join } from 'node:path'
+import { runCommand, startDaemon, waitUntil } from './processes.mjs'
+
+const KEY = 'key-of-the-upgrade-check'
+const TOKEN = 'operator token of the upgrade check'
+const MODEL = 'upgrade-8b'
+const SECRETS = { DOTTERELSPOKE_FLEET_KEY: 'fleet key of the upgrade check', DOTTERELSPOKE_OPERATOR_TOKEN: TOKEN }
+const ZONES = ['zone-a', 'zone-b']
+const CHATS = 12
+const COLUMNS = 'record,name,weight,keySha256,kind,loadLimit,loadTarget,service,url,availabilityZone,slots,model,path,repeatable,backendIdempotent,deadlineSeconds,priority,backendServer,startsAt,endsAt'.split(',')
+
+const formatRow = (record) => COLUMNS.map((column) => record[column] ?? '').join(',')
+
+const writeSheet = (path, { engines, service, weight }) => writeFileSync(path, [COLUMNS.join(','), ...[
+  { record: 'clientAccount', name: 'deli', weight, keySha256: createHash('sha256').update(KEY).digest('hex') },
+  { record: 'service', name: 'assistants', kind: 'model', loadLimit: 3, loadTarget: 2.5 },
+  { record: 'service', name: 'ordering', kind: 'plain', loadLimit: 3, loadTarget: 2.5 },
+  ...engines.map(({ ready }, index) => ({ record: 'backendServer', name: `engine-${index + 1}`, service: 'assistants', url: ready.listening, availabilityZone: ZONES[index % ZONES.length], slots: 8 })),
+  { record: 'backendServer', name: 'ordering-1', service: 'ordering', url: service.ready.listening, availabilityZone: ZONES[0], slots: 32 },
+  { record: 'route', name: 'chat', service: 'assistants', model: MODEL, repeatable: 'yes', backendIdempotent: 'no', deadlineSeconds: 20, priority: 'interactive' },
+  { record: 'route', name: 'orders', service: 'ordering', path: '/orders', repeatable: 'no', backendIdempotent: 'no', deadlineSeconds: 20, priority: 'interactive' }
+].map(formatRow)].join('\n'))
+
+const sendTurn = async (router, chat, turn, headers = {}) => {
+  const messages = Array.from({ length: turn }, (_, index) => [{ role: 'user', content: `chat ${chat}, question ${index}` }, { role: 'assistant', content: `answer ${index}` }]).flat().slice(0, -1)
+  const response = await fetch(`${router.ready.caller}/v1/chat/completions`, {
+    method: 'POST',
+    headers: { authorization: `Bearer ${KEY}`, 'content-type': 'application/json', ...headers },
+    body: JSON.stringify({ model: MODEL, messages, max_tokens: 8 })
+  })
+  await response.text()
+  return { status: response.status, server: response.headers.get('x-served-by'), hint: response.headers.get('x-chat-hint') }
+}
+
+const sendOrder = async (router, key) => {
+  const response = await fetch(`${router.ready.caller}/orders/${key}`, { method: 'POST', headers: { authorization: `Bearer ${KEY}`, 'idempotency-key': key, 'content-type': 'text/plain' }, body: `order ${key}` })
+  return { status: response.status, body: await response.text(), isReplay: response.headers.get('x-idempotent-replay') === 'true' }
+}
+
+const readStatus = async ({ ready }) => {
+  const response = await fetch(`${ready.operator}/status`, { headers: { authorization: `Bearer ${TOKEN}` } })
+  return await response.json()
+}
+
+const pause = (ms) => new Promise((resolve) => { setTimeout(resolve, ms) })
+
+/** The place of a chat is stored at a peer after the answer, by a message that nobody waits for. */
+const DIRECTORY_DELAY_MS = 500
+
+/** Chats begun at one router return at another, by directory or by hint, to the server that has their prefix. */
+const countReturns = async (first, second, label, withHint) => {
+  const chats = Array.from({ length: CHATS }, (_, index) => `${label}-${index}`)
+  const turns = []
+  for (const chat of chats) turns.push(await sendTurn(first, chat, 1, { 'x-chat-id': chat }))
+  await pause(DIRECTORY_DELAY_MS)
+  let returned = 0
+  for (const [index, chat] of chats.entries()) {
+    const one = turns[index]
+    const two = await sendTurn(second, chat, 2, { 'x-chat-id': chat, ...(withHint ? { 'x-chat-hint': one.hint } : {}) })
+    if (one.status === 200 && two.status === 200 && one.server === two.server) returned += 1
+  }
+  return returned
+}
+
+const UNREADABLE = /could not be decoded|did not prove|cannot be read|is damaged|no handler|malformed|unhandled|not readable/i
+
+export const checkRouters = async (builds, check) => {
+  const folder = mkdtempSync(join(tmpdir(), 'dotterelspoke-upgrade-'))
+  const platform = await startDaemon(builds.old, ['emulate', 'platform'])
+  const engines = await Promise.all(Array.from({ length: 4 }, () => startDaemon(builds.old, ['emulate', 'engine'])))
+  const service = await startDaemon(builds.old, ['emulate', 'service'])
+  const url = platform.ready.listening
+  const started = []
+  const startRouter = async (build, index) => {
+    const seeds = started.map(({ ready }) => String(ready.peer).replace(/^\w+:\/\//, '')).join(',')
+    const router = await startDaemon(builds[build], [
+      'router', '--node-id', `${build}-${index}`, '--availability-zone', ZONES[index % 2], '--platform-url', url, '--seed-peers', seeds,
+      '--caller-port', '0', '--operator-port', '0', '--peer-port', '0', '--shutdown-delay-ms', '100', '--watch-timeout-ms', '2000'
+    ], SECRETS)
+    started.push(router)
+    return { ...router, name: `${build}-${index}` }
+  }
+  const operate = async (build, words, routers) =>
+    await runCommand(builds[build], [...words, '--platform', url, ...(words[0] === 'drain' || words[1] === 'apply' ? ['--as', 'upgrade'] : []), ...routers.flatMap(({ ready }) => ['--router', ready.operator])], SECRETS)
+  const isSettled = (routers, generation) => waitUntil(async () => {
+    const statuses = await Promise.all(routers.map(readStatus))
+    return statuses.every((status) => status.ready && status.generation === generation && status.members.filter(({ state }) => state === 'live').length === routers.length)
+  })
+
+  const sheet = join(folder, 'sheet.csv')
+  writeSheet(sheet, { engines, service, weight: 1 })
+  const applied = await operate('old', ['sheet', 'apply', sheet], [])
+  check('a sheet is applied by the old command line', applied.code === 0, applied.output.split('\n')[0])
+  const routers = [await startRouter('old', 1), await startRouter('new', 2), await startRouter('old', 3), await startRouter('new', 4)]
+  const [old1, new2, old3, new4] = routers
+  check('four routers of both builds see each other live, with generation 1', await isSettled(routers, 1))
+
+  for (const [first, second] of [[old1, new2], [new2, old1], [old3, new4], [new4, old3]]) {
+    for (const withHint of [false, true]) {
+      const returned = await countReturns(first, second, `${first.name}-${second.name}-${withHint}`, withHint)
+      check(`chats begun at ${first.name} return at ${second.name} ${withHint ? 'by hint' : 'by directory'}`, returned === CHATS, `${returned} of ${CHATS}`)
+    }
+  }
+  for (const [first, second] of [[old1, new2], [new4, old3]]) {
+    const key = `order-${first.name}`
+    const order = await sendOrder(first, key)
+    const again = await sendOrder(second, key)
+    check(`an order of ${first.name} is answered again by ${second.name}`, order.status < 300 && !order.isReplay && again.isReplay && again.body === order.body, `${order.status}, ${again.status}`)
+  }
+  const loads = await waitUntil(async () => {
+    const tokens = (await Promise.all(routers.map(readStatus))).map(({ accountUsage }) => accountUsage.length)
+    return tokens.every((count) => count > 0)
+  })
+  check('usage of accounts spreads to all routers', loads)
+
+  writeSheet(sheet, { engines, service, weight: 2 })
+  const changed = await operate('new', ['sheet', 'apply', sheet, '--wait', '15'], routers)
+  check('a sheet of the new command line is in force everywhere', changed.code === 0, changed.output.trim().split('\n').at(-1))
+  const drained = await operate('old', ['drain', 'engine-1', '--wait', '15'], routers)
+  check('a drain of the old command line is done everywhere', drained.code === 0, drained.output.trim().split('\n').at(-1))
+  const ended = await operate('new', ['drain', 'engine-1', '--cancel'], routers)
+  check('the new command line ends it', ended.code === 0, ended.output.trim().split('\n').at(-1))
+  check('all routers have generation 4', await isSettled(routers, 4))
+  for (const words of [['sheet', 'status'], ['sheet', 'history'], ['sheet', 'show'], ['audit']]) {
+    const outputs = [await operate('old', words, words[1] === 'status' ? routers : []), await operate('new', words, words[1] === 'status' ? routers : [])]
+    check(`both command lines print the same for ${words.join(' ')}`, outputs[0].code === 0 && outputs[0].output === outputs[1].output, `codes ${outputs.map(({ code }) => code).join(', ')}`)
+  }
+  const unreadable = routers.flatMap(({ lines }) => lines).filter((line) => UNREADABLE.test(line))
+  check('no router logs a message that it could not read', unreadable.length === 0, unreadable[0])
+
+  for (const router of routers) await router.end()
+  started.length = 0
+  const alone = [await startRouter('new', 5), await startRouter('new', 6)]
+  check('new routers alone take the sheet that the fleet left', await isSettled(alone, 4))
+  const replays = [await sendOrder(alone[0], 'order-old-1'), await sendOrder(alone[1], 'order-new-4')]
+  check('they give the kept answers of orders sent before', replays.every(({ isReplay, status }) => isReplay && status < 300), replays.map(({ status }) => status).join(', '))
+  const fresh = await sendOrder(alone[0], 'order-after')
+  check('and run a new order', fresh.status < 300 && !fresh.isReplay, String(fresh.status))
+  check('they log nothing unreadable', alone.every(({ lines }) => !lines.some((line) => UNREADABLE.test(line))))
+  rmSync(folder, { recursive: true })
+}
