--- a/src/types/audit.ts
+++ b/src/types/audit.ts
@@ -1,32 +1,32 @@
 /**
- * The audit trail of changes to the configuration: who asked for what, when,
- * and what became of it.
+ * Entries of the audit trail: who requested which change of the configuration,
+ * when, and with which outcome.
  */
 
 /**
- * `attempted` is written before a change is tried, so that no accepted change
- * lacks its entry; it stays when the operator's machine stopped in between,
- * until the next change settles it.
+ * `attempted` is written before a change is tried, so that every accepted change
+ * has an entry. If the operator's machine stops in between, it remains until
+ * the next change records the outcome.
  */
 export type AuditOutcome = 'attempted' | 'accepted' | 'refused' | 'unknown'
 
 export type AuditEntry = {
   readonly applyId: string
   readonly operator: string
-  /** What the operator ran, for example `sheet apply`. */
+  /** The command that the operator ran, for example `sheet apply`. */
   readonly action: string
   /** Wall-clock milliseconds since 1970, on the operator's machine. */
   readonly at: number
-  /** Generation that the change was planned against; 0 for none. */
+  /** Generation on which the change was planned; 0 for none. */
   readonly generationFrom: number
   /** Generation that the change became, or would have become. */
   readonly generationTo: number
   readonly sheetHash: string
   readonly changes: readonly AuditChange[]
-  /** All changes, when more than the listed ones. */
+  /** Number of all changes, including those that are not listed. */
   readonly changeCount: number
   readonly outcome: AuditOutcome
-  /** Why it was refused, or what is unknown of it. */
+  /** Why it was refused, or why its outcome is unknown. */
   readonly reason?: string
 }
 
--- a/src/types/configuration.ts
+++ b/src/types/configuration.ts
@@ -1,7 +1,7 @@
 /**
- * What operators declare: client accounts, services with their backend
- * servers, routes and planned stops. A `Sheet` is the declaration, a
- * `Configuration` is a sheet that was accepted under a generation number.
+ * The configuration that operators declare: client accounts, services with
+ * their backend servers, routes and planned stops. A `Sheet` is the declaration;
+ * a `Configuration` is a sheet that was accepted under a generation number.
  */
 
 export type ClientAccount = {
@@ -18,9 +18,9 @@
 export type BackendService = {
   readonly name: string
   readonly kind: BackendServiceKind
-  /** No backend server may carry more than this multiple of the weighted mean load. Above 1. */
+  /** Maximum load of a backend server as a multiple of the weighted mean load. Above 1. */
   readonly loadLimit: number
-  /** The multiple that placement aims at, below `loadLimit`, to leave room for late counts. */
+  /** The multiple that placement aims at: below `loadLimit`, because load counts lag. */
   readonly loadTarget: number
 }
 
@@ -30,7 +30,7 @@
   /** Origin, for example `http://10.0.1.4:8000`. */
   readonly url: string
   readonly availabilityZone: string
-  /** Requests it runs at once; its weight in placement and in the mean load. */
+  /** Number of requests it runs at once; also its weight in placement and in the mean load. */
   readonly slots: number
 }
 
@@ -39,9 +39,9 @@
 export type Route = {
   readonly name: string
   readonly service: string
-  /** The model name that callers give; set when the service's kind is `model`. */
+  /** The model name in callers' requests; set when the service's kind is `model`. */
   readonly model?: string
-  /** The path prefix that callers use; set when the service's kind is `plain`. */
+  /** The path prefix of callers' requests; set when the service's kind is `plain`. */
   readonly path?: string
   /** Whether a request may be run a second time after a failure. */
   readonly repeatable: boolean
@@ -73,7 +73,7 @@
 }
 
 export type Configuration = {
-  /** 1 for the first accepted sheet, then one more for each. */
+  /** 1 for the first accepted sheet, incremented with each further one. */
   readonly generation: number
   readonly appliedBy: string
   /** Wall-clock milliseconds since 1970. */
@@ -82,14 +82,14 @@
   readonly sheet: Sheet
 }
 
-/** One fault of a sheet, at its place. Line and column count from 1. */
+/** One error in a sheet with its position. Lines and columns count from 1. */
 export type SheetProblem = {
   readonly line: number
   readonly column: number
   readonly message: string
 }
 
-/** A fault of one record, before its place in the file is known. */
+/** An error in one record, before its position in the file is determined. */
 export type SheetFault = {
   readonly record: keyof Sheet
   /** Position of the record in its list, from 0. */
@@ -107,7 +107,7 @@
 /** Values of the `record` column. */
 export type SheetRecordKind = 'clientAccount' | 'service' | 'backendServer' | 'route' | 'plannedStop'
 
-/** One accepted generation, as the root object remembers it. */
+/** One accepted generation, as recorded in the root object. */
 export type AppliedGeneration = {
   readonly generation: number
   readonly applyId: string
@@ -117,13 +117,13 @@
   readonly sheetHash: string
 }
 
-/** The object `configuration/root`: its conditional update is the acceptance of a sheet. */
+/** The object `configuration/root`. A sheet is accepted by the conditional update of this object. */
 export type ConfigurationRoot = AppliedGeneration & {
   /** Content hashes of the chunks, in bucket order. */
   readonly chunks: readonly string[]
-  /** Generations before this one, newest first, bounded. */
+  /** The most recent generations before this one, newest first; bounded in number. */
   readonly history: readonly AppliedGeneration[]
 }
 
-/** A part of a sheet under its content hash. */
+/** A part of a sheet, stored under its content hash. */
 export type ConfigurationChunk = { readonly hash: string, readonly bytes: Uint8Array }
--- a/src/types/environment.ts
+++ b/src/types/environment.ts
@@ -1,7 +1,7 @@
 /**
- * What a node takes from the machine it runs on: time, randomness and logs.
- * Every one of them is handed in, so that a test or another harness can drive
- * many nodes in one process with a manual clock and a seeded random source.
+ * Interfaces to the environment of a node: time, randomness and logs. They are
+ * injected, so that a test or another harness can run many nodes in one process
+ * with a manual clock and a seeded random source.
  */
 
 /** A pending timer. Cancelling one that has already run does nothing. */
@@ -32,27 +32,27 @@
   readonly debug: (message: string, fields?: LogFields) => void
 }
 
-/** How far a process that has just been started can have come. */
+/** The steps of a process start. */
 export type StartStep =
-  /** The first file runs. */
+  /** The entry file runs. */
   | 'begun'
   | 'listening'
-  /** The program's modules have run. */
+  /** All modules of the program are loaded. */
   | 'loaded'
-  /** The services are made and ask for what they need. */
+  /** The services are created and request the data they need. */
   | 'asking'
   | 'configuration'
   | 'backendServers'
   | 'firstPeer'
-  /** Where prompts are kept, as far as it was asked for. */
+  /** The cached prefix locations are recovered, as far as peers and model engines responded. */
   | 'promptPlaces'
-  /** Readiness was asked for and granted. */
+  /** A readiness check succeeded. */
   | 'ready'
   | 'firstRequest'
   | 'firstServed'
 
 export type StartTimeline = {
   readonly mark: (step: StartStep) => void
-  /** Of each step, milliseconds and milliseconds of processor time since the process began. */
+  /** Per step, elapsed milliseconds and milliseconds of processor time since the process start. */
   readonly fields: () => LogFields
 }
--- a/src/types/forwarding.ts
+++ b/src/types/forwarding.ts
@@ -1,19 +1,19 @@
-/** The forwarding service of a gateway node, as its callers see it. */
+/** Interface of the forwarding service of a gateway node. */
 import type { CallerSink, GatewayRefusal, GatewayRequest } from './gateway.js'
 
 export type ForwardingRun = {
-  /** The whole body has been read. */
+  /** Continues with the request once its complete body has been read. */
   readonly submit: (body: Uint8Array) => void
-  /** The caller has left. */
+  /** Ends the request because the caller has disconnected. */
   readonly cancel: () => void
-  /** The body could not be read; the request is refused. */
+  /** Refuses the request because its body could not be read. */
   readonly reject: (refusal: GatewayRefusal) => void
 }
 
 export type Forwarding = {
-  /** Takes a request once its head is read; refuses at once what can't be served. */
+  /** Accepts a request once its headers have been read; refuses it at once if it cannot be served. */
   readonly begin: (request: GatewayRequest, sink: CallerSink) => ForwardingRun
   readonly openRequests: () => number
-  /** From now on requests that would not end before `endsAt` (monotonic milliseconds) are refused as not run. */
+  /** Starts the shutdown: requests that would not finish before `endsAt` (monotonic milliseconds) are refused as not run. */
   readonly beginStopping: (endsAt: number) => void
 }
--- a/src/types/gateway.ts
+++ b/src/types/gateway.ts
@@ -1,17 +1,17 @@
 /**
- * What a gateway node works with: a node that routes whole HTTP requests by
- * host and path to backend servers found at run time. Adapters decode their
- * wire formats once into these types; nothing here is a wire name.
+ * Types of a gateway node, which routes complete HTTP requests by host and path
+ * to backend servers found at run time. Adapters convert their wire formats
+ * into these types; no name in this file appears on the wire.
  */
 import type { PeerAddress } from './peer.js'
 import type { Result } from './result.js'
 
-/** Which repeats of a request are harmless: any, none, or a stream's that goes on after an event. */
+/** Whether a request may be retried: always (`safe`), never (`unsafe`), or only by resuming a stream after an event (`stream`). */
 export type RepeatPolicy = 'safe' | 'unsafe' | 'stream'
 
 export type GatewayTarget = {
   readonly service: string
-  /** Share of the route's requests, against the sum of its targets' weights. */
+  /** Share of the route's requests, relative to the sum of its targets' weights. */
   readonly weight: number
 }
 
@@ -22,32 +22,32 @@
   readonly pathPrefix: string
   readonly targets: readonly GatewayTarget[]
   readonly repeatPolicy: RepeatPolicy
-  /** Whether a stream may go on at another backend server after an event id. */
+  /** Whether a stream can be resumed on another backend server after an event id. */
   readonly isResumable: boolean
-  /** Longest time in milliseconds until the final answer. */
+  /** Maximum time until the final answer, in milliseconds. */
   readonly timeoutMs: number
-  /** Time in milliseconds within which the answer (a stream: its first event) is worth most. */
+  /** Latency target in milliseconds for the answer, or for the first event of a stream. */
   readonly goalMs: number
-  /** Longest pause in milliseconds between two events of a stream that is still on time. */
+  /** Target for the gap between two events of a stream, in milliseconds. */
   readonly pauseGoalMs: number
-  /** Most backend servers that one request may be sent to. */
+  /** Maximum number of backend servers that one request may be sent to. */
   readonly maximumAttempts: number
   /** 0 is the most urgent. */
   readonly priority: number
   /** Whether requests need no key. */
   readonly isPublic: boolean
-  /** Regions in which it may be served; empty or left out where any will do. */
+  /** Regions in which requests may be served; any region when empty or omitted. */
   readonly allowedRegions?: readonly string[]
 }
 
 export type GatewayService = {
   readonly name: string
   readonly healthPath: string
-  /** Connections that one backend server accepts from all callers together. */
+  /** Maximum number of connections that one backend server accepts from all callers together. */
   readonly maximumConnections: number
-  /** Whether its backend servers are model engines that keep prompt prefixes. */
+  /** Whether its backend servers are model engines, which cache prompt prefixes. */
   readonly isEngine: boolean
-  /** What a backend server bears while it warms up after its start; left out where it bears its full load. */
+  /** Request rate that a backend server can take while it warms up after its start; omitted when it can take full load at once. */
   readonly warmUp?: { readonly durationMs: number, readonly requestsPerSecond: number }
 }
 
@@ -60,14 +60,14 @@
 
 export type GatewayAccount = {
   readonly name: string
-  /** Goes before the route's priority when set. */
+  /** Overrides the route's priority when set. */
   readonly priority?: number
-  /** Regions in which its requests may be served; both these and the route's bind. */
+  /** Regions in which its requests may be served; the route's restriction applies as well. */
   readonly allowedRegions?: readonly string[]
 }
 
 export type GatewayConfiguration = {
-  /** Grows from one configuration to the next, in uneven steps. */
+  /** Increases with each configuration, by steps of any size. */
   readonly version: number
   readonly routes: readonly GatewayRoute[]
   readonly services: ReadonlyMap<string, GatewayService>
@@ -82,18 +82,18 @@
   readonly service: string
   readonly address: PeerAddress
   readonly availabilityZone: string
-  /** Requests that it works on at once. */
+  /** Number of requests that it runs at once. */
   readonly slots: number
   readonly isLeaving: boolean
-  /** Unix milliseconds of its start: a new start under an old id has a higher one. */
+  /** Unix milliseconds of its start. A restart under the same id has a higher value. */
   readonly incarnation: number
-  /** Milliseconds for which it stays slow after its start, from when this was read. */
+  /** Remaining warm-up time in milliseconds when this entry was read. */
   readonly warmUpMs: number
 }
 
 export type PromptPart = { readonly id: string, readonly tokens: number }
 
-/** Names and values in the order of the wire. */
+/** Header names and values in wire order. */
 export type HeaderList = readonly (readonly [name: string, value: string])[]
 
 export type GatewayRequest = {
@@ -102,22 +102,22 @@
   readonly host: string
   /** Path with query, as the caller sent it. */
   readonly target: string
-  /** What goes on to the backend server unchanged. */
+  /** Headers that are forwarded to the backend server unchanged. */
   readonly headers: HeaderList
   readonly credential: string | undefined
-  /** How long the caller waits, in milliseconds from the first byte. */
+  /** The caller's time-out, in milliseconds from the first byte. */
   readonly callerTimeoutMs: number | undefined
-  /** Last event that the caller has of a broken stream. */
+  /** Id of the last event that the caller received before its stream broke. */
   readonly lastEventId: number | undefined
-  /** Parts of the prompt in order; the first ones are shared with other requests. */
+  /** Parts of the prompt in order; leading parts may be shared with other requests. */
   readonly promptParts: readonly PromptPart[]
-  /** Prompt tokens plus the most tokens that may be generated. */
+  /** Number of prompt tokens and maximum number of generated tokens. */
   readonly tokens: { readonly prompt: number, readonly output: number }
   /** Monotonic milliseconds of the request's first byte. */
   readonly receivedAt: number
 }
 
-/** One send of a request to one backend server. */
+/** One attempt to run a request on one backend server. */
 export type GatewayAttempt = {
   readonly request: GatewayRequest
   readonly body: Uint8Array
@@ -125,25 +125,25 @@
   readonly account: string | undefined
   readonly remainingMs: number
   readonly priority: number
-  /** The stream goes on after this event. */
+  /** Id of the event after which the stream is to be resumed. */
   readonly resumeAfter: number | undefined
-  /** Another backend server that keeps more of the prompt, from which this one can copy it. */
+  /** A backend server that has more of the prompt cached, from which this one can copy it. */
   readonly copyPromptFrom: PeerAddress | undefined
 }
 
 export type InstanceLoad = { readonly running: number, readonly waiting: number, readonly slots: number }
 
-/** Head of a backend server's answer, decoded. */
+/** Decoded status and headers of a backend server's answer. */
 export type InstanceAnswer = {
   readonly status: number
-  /** What goes back to the caller unchanged. */
+  /** Headers that are returned to the caller unchanged. */
   readonly headers: HeaderList
   readonly requestId: string | undefined
-  /** Whether the backend server vouches for the answer as its own. */
+  /** Whether the answer carries the backend server's own stamp. */
   readonly isSigned: boolean
-  /** Whether it states that it did not run the request. */
+  /** Whether the backend server states that it did not run the request. */
   readonly isNotRun: boolean
-  /** Another backend server has the address. */
+  /** Whether a different backend server now has the address. */
   readonly isOtherInstance: boolean
   readonly load: InstanceLoad | undefined
   readonly contentLength: number | undefined
@@ -152,12 +152,12 @@
 }
 
 export type ExchangeFailure =
-  /** No byte of the request was written: it was surely not run. */
+  /** No byte of the request was written, so it was certainly not run. */
   | { readonly kind: 'notSent', readonly message: string }
-  /** The request was written and the answer did not come, or not whole. It may have run. */
+  /** The request was written, but no complete answer arrived. It may have run. */
   | { readonly kind: 'broken', readonly message: string }
 
-/** What an exchange with a backend server tells, in this order: sent, head, data, then one of end and failure. */
+/** Receives the events of an exchange with a backend server, in this order: sent, head, data, then either end or failure. */
 export type ExchangeListener = {
   readonly onSent: () => void
   readonly onHead: (answer: InstanceAnswer) => void
@@ -167,7 +167,7 @@
 }
 
 export type Exchange = {
-  /** Closes its connection at once; nothing more is told. */
+  /** Closes the connection at once; no further event is delivered. */
   readonly abort: () => void
   readonly pause: () => void
   readonly resume: () => void
@@ -175,9 +175,9 @@
 
 export type InstanceClient = {
   readonly send: (attempt: GatewayAttempt, listener: ExchangeListener) => Exchange
-  /** Tries whether a connection can be made; it carries no request. */
+  /** Checks whether a connection can be opened, without sending a request. */
   readonly probe: (instance: BackendInstance) => Promise<boolean>
-  /** Closes the idle connections to backend servers that are not in the set of `id@incarnation`. */
+  /** Closes idle connections to backend servers whose `id@incarnation` is not in the set. */
   readonly retain: (live: ReadonlySet<string>) => void
   readonly close: () => void
 }
@@ -187,28 +187,28 @@
   | 'noInstance' | 'serviceFull' | 'deadlineBeforeSend' | 'deadline' | 'instanceFailed' | 'answerBroken'
   | 'instancesRefused' | 'shuttingDown' | 'crossedAnswer' | 'zoneDrained' | 'warmingUp' | 'regionNotAllowed'
 
-/** A final answer that the node itself makes. */
+/** A final answer created by the node itself. */
 export type GatewayRefusal = {
   readonly status: number
   readonly reason: FinalReason
-  /** When to come back, in milliseconds. */
+  /** When to retry, in milliseconds. */
   readonly retryAfterMs?: number
 }
 
-/** Where the final answer goes. After `end`, `fail` or `refuse` nothing more may be written. */
+/** Writes the final answer to the caller. Nothing may be written after `end`, `fail` or `refuse`. */
 export type CallerSink = {
   readonly refuse: (refusal: GatewayRefusal) => void
   readonly whole: (answer: InstanceAnswer, body: Uint8Array) => void
   readonly head: (answer: InstanceAnswer) => void
-  /** Returns false when the caller reads slower than the answer comes. */
+  /** Returns false when the caller reads more slowly than the answer arrives (backpressure). */
   readonly data: (bytes: Uint8Array) => boolean
   readonly onDrain: (listener: () => void) => void
   readonly end: () => void
-  /** Ends the connection so that the answer does not look complete. */
+  /** Breaks the connection, so that the caller does not take the answer for complete. */
   readonly fail: () => void
 }
 
-/** Reads the wire's names on the caller's and the backend server's side. */
+/** Converts between the wire formats of callers and backend servers and the types of this file. */
 export type GatewayDialect = {
   readonly decodeRequest: (raw: RawRequest) => Result<GatewayRequest, GatewayRefusal>
   readonly encodeAttempt: (attempt: GatewayAttempt) => readonly string[]
--- a/src/types/gatewayKnowledge.ts
+++ b/src/types/gatewayKnowledge.ts
@@ -1,6 +1,7 @@
 /**
- * What a gateway node believes and where it learned it: the configuration in
- * force, how lately it was confirmed to be the newest, and the backend servers.
+ * State that a gateway node reads from its sources or receives from peers: the
+ * configuration in force, when it was last confirmed to be the newest, the
+ * backend servers and the zone drains.
  */
 import type { BackendInstance, GatewayConfiguration, PromptPart } from './gateway.js'
 import type { Result } from './result.js'
@@ -8,47 +9,47 @@
 export type SourceError =
   /** The source refused, timed out, or could not be reached. */
   | { readonly kind: 'unavailable', readonly message: string }
-  /** The changes since the given revision are no longer kept: list anew. */
+  /** The source no longer has the changes since the given revision; the list must be read again. */
   | { readonly kind: 'historyGone' }
   /** What was read is not a valid object of its kind. */
   | { readonly kind: 'malformed', readonly message: string }
   | { readonly kind: 'notFound' }
 
 /**
- * What a configuration is made of, as its source writes it: lists of records by
- * section. A record that did not change from one configuration to the next is
- * the same object in both.
+ * The records of a configuration by section, as its source encodes them. A
+ * record that did not change between two configurations is the same object in
+ * both.
  */
 export type ConfigurationRecords = Readonly<Record<string, readonly unknown[]>>
 
-/** A configuration with the records it was decoded from, so that a node can hand it on. */
+/** A configuration with the records it was decoded from, so that a node can forward it to peers. */
 export type SourcedConfiguration = {
   readonly configuration: GatewayConfiguration
   readonly records: ConfigurationRecords
-  /** Names the write that it came from: those with the same revision have the same records. */
+  /** Identifies the write that created it: equal revisions have equal records. */
   readonly revision: number
 }
 
-/** A run of records of the earlier configuration, or records that it lacks. */
+/** A range of records to copy from the base configuration, or new records to insert. */
 export type RecordStep = { readonly from: number, readonly count: number } | { readonly records: readonly unknown[] }
 
-/** What leads from one configuration's records to another's, in the order of the result. */
+/** Steps per section that turn one configuration's records into another's, in the order of the result. */
 export type RecordChange = Readonly<Record<string, readonly RecordStep[]>>
 
-/** A configuration as one node tells it to another: what changed since one that the asker holds, or all its records packed. */
+/** A configuration sent between nodes: either the change from a revision that the receiver has, or all records compressed. */
 export type ConfigurationNews = { readonly revision: number } & (
   | { readonly kind: 'change', readonly base: number, readonly change: RecordChange }
   | { readonly kind: 'whole', readonly bytes: Uint8Array }
 )
 
 export type ConfigurationSource = {
-  /** Reads the newest configuration; the same object again while nothing changed. */
+  /** Reads the newest configuration. Returns the same object while nothing has changed. */
   readonly read: () => Promise<Result<SourcedConfiguration, SourceError>>
-  /** Decodes the records of a peer; those that were decoded before cost next to nothing. */
+  /** Decodes records received from a peer. Decoded records are cached, so unchanged ones cost next to nothing. */
   readonly decode: (records: ConfigurationRecords, revision: number) => Result<SourcedConfiguration, SourceError>
 }
 
-/** One entry of the list of backend servers; without `instance` it is malformed and names none. */
+/** One entry of the list of backend servers; `instance` is omitted when the entry is malformed. */
 export type InstanceEntry = { readonly name: string, readonly instance?: BackendInstance }
 
 export type InstanceChange = InstanceEntry & { readonly isRemoved: boolean }
@@ -65,16 +66,16 @@
   readonly watch: (revision: number, waitMs: number) => Promise<Result<{ readonly changes: readonly InstanceChange[], readonly revision: number }, SourceError>>
 }
 
-/** How far a node has come in the changes that another one made to its list. */
+/** Position in the sequence of changes that a node has made to its list of backend servers. */
 export type ChangePosition = {
-  /** Names one life of the list: a node that starts anew counts from the beginning. */
+  /** Identifies one run of the node; a restarted node counts its changes from the beginning. */
   readonly origin: number
   readonly sequence: number
 }
 
-/** What changed in one node's list of backend servers since a position, or the whole of it. */
+/** Changes to one node's list of backend servers since a position, or the complete list. */
 export type InstanceNews = {
-  /** Whether `instances` are all, so that others are gone. */
+  /** Whether `instances` is the complete list, so that any other backend server is gone. */
   readonly isWhole: boolean
   readonly instances: readonly BackendInstance[]
   readonly removed: readonly string[]
@@ -84,34 +85,34 @@
 export type GatewayConfigurationHolder = {
   readonly current: () => GatewayConfiguration | undefined
   readonly version: () => number
-  /** Milliseconds since the configuration in force was surely the newest; infinite when that is unknown. */
+  /** Milliseconds since the configuration in force was last confirmed to be the newest; infinite when unknown. */
   readonly confirmedAgeMs: () => number
-  /** Asks all sources now; resolves when one has confirmed, after `waitMs`, or at once while the source is known to be away. */
+  /** Queries the source and peers now. Resolves on the first confirmation, after `waitMs`, or at once while the source is known to be unreachable. */
   readonly confirm: (waitMs: number) => Promise<void>
   readonly onChange: (listener: (configuration: GatewayConfiguration) => void) => void
 }
 
 export type InstanceRegistry = {
-  /** Backend servers of a service that may get work. */
+  /** Backend servers of a service that may get requests. */
   readonly list: (service: string) => readonly BackendInstance[]
   readonly find: (id: string) => BackendInstance | undefined
   readonly all: () => readonly BackendInstance[]
   /**
-   * Backend servers whose entry was removed so lately that they still serve: they
-   * get no requests, but what they keep can be copied.
+   * Backend servers whose entry was removed so recently that they still run. They
+   * get no requests, but their prompt caches can be copied.
    */
   readonly removedLately: () => readonly BackendInstance[]
   readonly revision: () => number
-  /** Whether the list was read at least once since the start. */
+  /** Whether the list has been read or received at least once since the start. */
   readonly isKnown: () => boolean
-  /** How much longer a backend server warms up after its start, in milliseconds; 0 when it does not. */
+  /** Remaining warm-up time of a backend server in milliseconds; 0 when it is not warming up. */
   readonly warmUpLeftMs: (instance: BackendInstance) => number
-  /** A backend server's own word, or proof from an answer, that this incarnation gets no more work. */
+  /** Excludes an incarnation from further requests, because it reported that it is leaving or an answer showed that it is gone. */
   readonly markGone: (instance: BackendInstance, reason: string) => void
   readonly onChange: (listener: () => void) => void
 }
 
-/** The availability zones whose backend servers get no work because an operator asked so, as of a revision of the source. */
+/** The availability zones that operators are draining, as of a revision of the source. Their backend servers get no work. */
 export type ZoneDrainNews = { readonly revision: number, readonly zones: readonly string[] }
 
 export type ZoneDrainChange = { readonly zone: string, readonly isEnded: boolean }
@@ -124,16 +125,16 @@
 
 export type ZoneDrains = {
   readonly isDrained: (availabilityZone: string) => boolean
-  /** Milliseconds since the drain of a zone ended; infinite where none did. */
+  /** Milliseconds since the drain of a zone ended; infinite when none has ended. */
   readonly endedAgoMs: (availabilityZone: string) => number
-  /** Revision of the source up to which the drains are known. */
+  /** Revision of the source that the drains reflect. */
   readonly revision: () => number
-  /** Whether the drains were read or learnt at least once since the start. */
+  /** Whether the drains have been read or received at least once since the start. */
   readonly isKnown: () => boolean
   readonly onChange: (listener: () => void) => void
 }
 
 export type EngineMemorySource = {
-  /** What a model engine keeps of prompts now; dear, since it delays the engine. */
+  /** Lists the prompt parts in a model engine's prompt cache. Expensive: the query delays the engine's other work. */
   readonly list: (instance: BackendInstance) => Promise<Result<readonly PromptPart[], SourceError>>
 }
--- a/src/types/gatewaySettings.ts
+++ b/src/types/gatewaySettings.ts
@@ -1,4 +1,4 @@
-/** The settings of one gateway node, checked. Times are milliseconds. */
+/** The validated settings of a gateway node. Times are in milliseconds. */
 import type { PeerAddress } from './peer.js'
 
 export type GatewaySettings = {
@@ -7,30 +7,30 @@
   readonly callerAddress: PeerAddress
   readonly readinessAddress: PeerAddress
   readonly metricsAddress: PeerAddress | undefined
-  /** Where this node listens for its peers, and what they dial. */
+  /** Address on which this node listens for peers, and to which they connect. */
   readonly peerAddress: PeerAddress
   readonly seedPeers: readonly PeerAddress[]
   readonly fleetKey: string
-  /** Thousandths of a core that the VM gives this node; unknown where left out. */
+  /** CPU available to this node in thousandths of a core; omitted when unknown. */
   readonly millicores?: number
-  /** Whether the whole deployment starts for the first time: engines keep nothing yet. */
+  /** Whether the complete deployment starts for the first time, so that all prompt caches are empty. */
   readonly isFirstStart: boolean
-  /** Milliseconds from a stop's signal to the process's end by force. */
+  /** Milliseconds from the shutdown signal until the process is killed. */
   readonly graceMs: number
-  /** Time after which a key that was taken away must not be used; 0 where no such bound holds. */
+  /** Time after which a revoked key must no longer be accepted; 0 for no such bound. */
   readonly keyRevocationMs: number
-  /** Time within which a new configuration has to be in force. */
+  /** Time within which a new configuration must be in force. */
   readonly configurationDelayMs: number
-  /** Time for which a backend server goes on serving after it was taken from the list. */
+  /** Time for which a backend server continues to serve after its removal from the list. */
   readonly serverDrainMs: number
   readonly repeatRatio: number
   readonly repeatExtra: number
   readonly repeatWindowMs: number
-  /** No backend server over so many times the mean load of its service, plus 3. */
+  /** Maximum load of a backend server: this multiple of the mean load of its service, plus 3 requests. */
   readonly loadFactor: number
-  /** Multiple of what a warming backend server bears a second that it may get in any second, and requests beyond that; left out where servers don't warm up. */
+  /** Limit on requests to a backend server that is warming up, in any one second: `excess` times its stated rate plus `slack` requests. Omitted when servers need no warm-up. */
   readonly warmUpLimit?: { readonly excess: number, readonly slack: number }
-  /** Region of each availability zone; empty where nothing is bound to regions. */
+  /** Region of each availability zone; empty when requests are not restricted to regions. */
   readonly regionByZone?: ReadonlyMap<string, string>
   readonly logLevel: string
 }
--- a/src/types/metrics.ts
+++ b/src/types/metrics.ts
@@ -1,6 +1,6 @@
 /**
- * What a node measures of itself, by name. Services count and observe through
- * `Metrics`; the adapter turns it into Prometheus metrics.
+ * Names of the metrics that a node exports. Services record values through
+ * `Metrics`; an adapter exposes them as Prometheus metrics.
  */
 
 export type CounterName =
@@ -25,6 +25,6 @@
   readonly count: (name: CounterName, labels?: MetricLabels, by?: number) => void
   /** Records a duration in seconds. */
   readonly observe: (name: HistogramName, seconds: number, labels?: MetricLabels) => void
-  /** Sets how a gauge is read whenever the metrics are asked for. */
+  /** Sets the function that reads a gauge on each scrape. */
   readonly readGauge: (name: GaugeName, read: () => readonly GaugeReading[]) => void
 }
--- a/src/types/peer.ts
+++ b/src/types/peer.ts
@@ -7,7 +7,7 @@
 
 export type PeerAddress = { readonly host: string, readonly port: number }
 
-/** What a router says of itself, and what others pass on about it. */
+/** A member record: a node publishes its own, and other nodes forward it by gossip. */
 export type Member = {
   readonly nodeId: string
   /** Grows each time the node restarts or refutes a suspicion. */
@@ -15,19 +15,19 @@
   readonly address: PeerAddress
   readonly availabilityZone: string
   readonly state: MemberState
-  /** Configuration generation in force there; 0 when it has none. */
+  /** Generation of the configuration in force on the node; 0 when it has none. */
   readonly generation: number
-  /** Thousandths of a core that its VM gives it; left out where that is not known. */
+  /** CPU available to the node in thousandths of a core; omitted when unknown. */
   readonly millicores?: number
 }
 
 export type MemberState = 'live' | 'suspect' | 'leaving' | 'dead'
 
-/** Requests in flight that one router has on one backend server. */
+/** Number of requests that one router has in flight to one backend server. */
 export type LoadCount = { readonly backendServer: string, readonly inFlight: number }
 
 /**
- * Load of one router. A digest with `full` replaces what was known of `source`; one without
+ * Load of one router. A digest with `full` replaces all earlier counts of `source`; one without
  * carries only the counts that changed since sequence number `sequence - 1`.
  */
 export type LoadDigest = {
@@ -37,7 +37,7 @@
   readonly counts: readonly LoadCount[]
 }
 
-/** A load digest of one router, with the 32-bit hashes of the servers' names. */
+/** Load digest of one router, with 32-bit hashes in place of backend server names. */
 export type PackedLoadDigest = {
   readonly kind: 'loadDigest'
   readonly source: string
@@ -47,40 +47,40 @@
 
 /**
  * Load of the backend servers of one availability zone, in a large fleet: the
- * requests of one router, the sum of one zone's routers, or the sum of all
- * zones. It is always whole, so a lost one is made good by the next.
+ * requests of one router, the sum over one zone's routers, or the sum over all
+ * zones. It is always complete, so the next snapshot makes up for a lost one.
  */
 export type LoadSnapshot = {
   readonly scope: 'node' | 'zone' | 'fleet'
-  /** Node that counted, or zone that was summed. */
+  /** The node whose requests were counted, or the zone that was summed. */
   readonly source: string
-  /** Node that made it. */
+  /** Node that created the snapshot. */
   readonly nodeId: string
-  /** Availability zone of the backend servers; empty where they are summed together. */
+  /** Availability zone of the backend servers; empty when the snapshot covers all zones. */
   readonly group: string
-  /** Grows from one snapshot of a node to the next. */
+  /** Increases with each snapshot of a node. */
   readonly sequence: number
 } & PackedLoadCounts
 
-/** Requests in flight by backend server, with the hash of its name in place of the name. */
+/** Requests in flight by backend server, identified by the hash of its name. */
 export type PackedLoadCounts = {
   readonly servers: Uint32Array
-  /** In the order of `servers`, in one byte each where all fit. */
+  /** In the order of `servers`; one byte per count if all counts fit, else two. */
   readonly inFlight: Uint8Array | Uint16Array
 }
 
-/** A mark that a backend server is leaving; a higher epoch alone replaces it. */
+/** Records whether a backend server is leaving. Only a mark with a higher epoch replaces it. */
 export type LeavingMark = {
   readonly backendServer: string
   readonly epoch: number
   readonly leaving: boolean
-  /** Whose word it is; each source has its own epochs, and one that says leaving is enough. */
+  /** Who reported it. Each source has its own epochs, and a server is leaving if any source reports so. */
   readonly source?: LeavingSource
 }
 
 export type LeavingSource = 'vmList' | 'backendServer'
 
-/** Work that one router lately started for one client account on one service, in tokens, decayed with time. */
+/** Work that one router recently started for one client account on one service, in tokens with exponential decay over time. */
 export type AccountUsage = { readonly clientAccount: string, readonly service?: string, readonly tokens: number }
 
 export type ClaimKey = { readonly clientAccount: string, readonly idempotencyKey: string }
@@ -89,19 +89,19 @@
   | {
     readonly kind: 'heartbeat'
     readonly member: Member
-    /** Members whose state changed lately, passed on. */
+    /** Gossip updates: members whose state changed recently. */
     readonly rumours: readonly Member[]
-    /** Sequence number of the sender's last load digest, by which a receiver sees that it missed some. */
+    /** Sequence number of the sender's last load digest, from which a receiver detects missed digests. */
     readonly loadSequence?: number
     readonly leavingMarks?: readonly LeavingMark[]
     readonly accountUsage?: readonly AccountUsage[]
-    /** The sender knows no peers yet and asks for the whole list of members. */
+    /** The sender requests the complete list of members, for example because it has just started. */
     readonly membersWanted?: boolean
-    /** The rumours are members that the receiver asked for, and no news. */
+    /** `rumours` answers a request for the list of members; the entries are not recent changes. */
     readonly isRoster?: boolean
-    /** The sender has not heard from the receiver for a while and asks for a heartbeat. */
+    /** The sender has received no recent heartbeat from the receiver and requests one. */
     readonly echoWanted?: boolean
-    /** The sender missed a digest and asks this receiver for full counts. */
+    /** The sender missed a digest and requests full counts from the receiver. */
     readonly loadWanted?: boolean
   }
   | PackedLoadDigest
@@ -112,16 +112,16 @@
   | { readonly kind: 'directoryLookup', readonly chatKey: string }
   | { readonly kind: 'claimAppend', readonly shard: number, readonly entries: readonly Uint8Array[] }
   | { readonly kind: 'claimOutcome', readonly key: ClaimKey }
-  /** Prompt parts that lately went to backend servers. In a large fleet they go to one node of each zone, which passes them on there. */
+  /** Prompt parts recently sent to backend servers. In a large fleet one node of each zone gets the message and forwards it within the zone. */
   | { readonly kind: 'promptPlaces', readonly places: readonly KeptParts[], readonly isForZone?: boolean }
-  /** Asks a gateway node for the prompt parts that it remembers, after a start. */
+  /** Sent by a gateway node after its start to request the cached prefix locations that another one has. */
   | { readonly kind: 'promptPlacesRequest' }
-  /** Asks a gateway node for what is newer than this; `since` is where the asker stands in that node's own changes. */
+  /** Requests everything newer than the stated versions; `since` is the position up to which the requester has the receiver's changes. */
   | { readonly kind: 'knowledgeRequest', readonly version: number, readonly configurationRevision: number, readonly revision: number, readonly since?: ChangePosition }
-  /** Tells that the sender has a newer configuration or changed backend servers: worth a question. */
+  /** Notifies that the sender has a newer configuration or changed backend servers, so that the receiver can request them. */
   | { readonly kind: 'knowledgeNews', readonly source: string, readonly version: number, readonly position: ChangePosition, readonly zoneDrains?: ZoneDrainNews }
 
-/** Ids of prompt parts that a backend server (`id@incarnation`) is believed to keep. */
+/** Ids of the prompt parts that a backend server (`id@incarnation`) probably has in its prompt cache. */
 export type KeptParts = { readonly server: string, readonly parts: readonly string[] }
 
 export type PeerReply =
@@ -129,23 +129,23 @@
   | { readonly kind: 'root', readonly root?: Uint8Array }
   | { readonly kind: 'chunk', readonly bytes?: Uint8Array }
   | { readonly kind: 'directoryEntry', readonly backendServer?: string }
-  /** For each entry whether its claim holds the key, and the encoded record that does; empty bytes when none does. */
+  /** Per entry: whether its claim owns the key, and the encoded record of the owning claim; empty bytes when there is none. */
   | { readonly kind: 'claimAppended', readonly accepted: readonly boolean[], readonly records?: readonly Uint8Array[] }
   | { readonly kind: 'claimRefused', readonly message: string }
   | { readonly kind: 'claimOutcome', readonly outcome?: Uint8Array }
-  /** `isWhole` where the node knows all that its zone's engines keep, as far as it could be learnt. */
+  /** `isWhole` is set once the node has finished collecting the prompt caches of its zone's model engines, even if some did not respond. */
   | { readonly kind: 'promptPlaces', readonly places: readonly KeptParts[], readonly isWhole: boolean }
   | {
     readonly kind: 'knowledge'
     readonly version: number
-    /** Milliseconds since that version was surely the newest, when the reply was made; infinite when unknown. */
+    /** Milliseconds since that version was last confirmed to be the newest, at the time of the reply; infinite when unknown. */
     readonly ageMs: number
-    /** Left out where the asker holds that version. */
+    /** Omitted when the requester already has that version. */
     readonly configuration?: ConfigurationNews
-    /** Revision of the source up to which the backend servers are known. */
+    /** Revision of the source that the list of backend servers reflects. */
     readonly revision: number
     readonly instances: InstanceNews
-    /** Left out where the node knows of none, or none can be. */
+    /** Omitted when the node has not read the zone drains, or the deployment has no zone drains. */
     readonly zoneDrains?: ZoneDrainNews
   }
 
@@ -160,14 +160,14 @@
 
 export type Heartbeat = PeerMessageOf<'heartbeat'>
 
-/** What services add to a heartbeat for one receiver; membership itself fills the rest. */
+/** The heartbeat fields that services contribute for one receiver; membership fills in the others. */
 export type HeartbeatParts = Partial<Pick<Heartbeat, 'loadSequence' | 'leavingMarks' | 'accountUsage' | 'loadWanted'>>
 
 export type PeerTransport = {
-  /** One way, best effort: dropped when the peer cannot be reached or its queue is full. */
+  /** Sends a one-way message, best effort: it is dropped when the peer is unreachable or its queue is full. */
   readonly send: (address: PeerAddress, message: PeerMessage) => void
   readonly request: (address: PeerAddress, message: PeerMessage, timeoutMs: number) => Promise<Result<PeerReply, PeerError>>
-  /** Sets the one handler of a message kind. A reply to a one-way message is dropped. */
+  /** Sets the only handler of a message kind. Its reply to a one-way message is discarded. */
   readonly handle: <Kind extends PeerMessageKind>(kind: Kind, handler: (message: PeerMessageOf<Kind>) => PeerReply | Promise<PeerReply>) => void
   readonly close: () => Promise<void>
 }
--- a/src/types/platform.ts
+++ b/src/types/platform.ts
@@ -1,11 +1,11 @@
 /**
- * The platform's versioned object API as a node sees it: conditional writes,
- * lists, watches by long poll, and the list of VMs. `docs/INTERFACES.md` has
- * the HTTP form.
+ * Client interface of the platform's versioned object API: conditional writes,
+ * lists, watches by long polling, and the list of VMs. `docs/INTERFACES.md`
+ * describes the HTTP form.
  */
 import type { Result } from './result.js'
 
-/** Opaque version of one object; changes with every write. */
+/** Opaque version of an object; changes with every write. */
 export type ObjectVersion = string
 
 export type PlatformObject = {
@@ -15,15 +15,15 @@
 }
 
 export type PlatformError =
-  /** The condition did not hold: the object exists already, or has another version. Nothing was written. */
+  /** The condition failed: the object already exists or has another version. Nothing was written. */
   | { readonly kind: 'conflict' }
-  /** The platform refused or could not be reached. A write surely had no effect. */
+  /** The platform refused the call or could not be reached. A write certainly had no effect. */
   | { readonly kind: 'unavailable', readonly message: string }
   /** The reply to a write was lost. It may or may not have taken effect. */
   | { readonly kind: 'outcomeUnknown', readonly message: string }
-  /** The value is over the platform's size limit, or the request was malformed. */
+  /** The value exceeds the platform's size limit, or the request was malformed. */
   | { readonly kind: 'rejected', readonly message: string }
-  /** A watch was asked for a revision that the platform no longer has. */
+  /** A watch requested a revision that the platform no longer has. */
   | { readonly kind: 'revisionGone' }
 
 export type ObjectChange = {
@@ -34,9 +34,9 @@
 
 export type ObjectList = {
   readonly objects: readonly { readonly name: string, readonly version: ObjectVersion }[]
-  /** Revision of the whole store at the time of the list, to start a watch from. */
+  /** Revision of the store at the time of the list, from which a watch can start. */
   readonly revision: number
-  /** Name to continue after, when the list was cut at its limit. */
+  /** Name after which to continue, when the list was truncated at its limit. */
   readonly continueAfter?: string
 }
 
@@ -46,9 +46,9 @@
 }
 
 export type ListOptions = {
-  /** Only names that sort after this one. */
+  /** Lists only names that sort after this one. */
   readonly after?: string
-  /** At most so many names; 1,000 by default. */
+  /** Maximum number of names; 1,000 by default. */
   readonly limit?: number
 }
 
@@ -69,7 +69,7 @@
   readonly updateObject: (name: string, bytes: Uint8Array, expected: ObjectVersion) => Promise<Result<ObjectVersion, PlatformError>>
   readonly deleteObject: (name: string, expected: ObjectVersion) => Promise<Result<undefined, PlatformError>>
   readonly listObjects: (prefix: string, options?: ListOptions) => Promise<Result<ObjectList, PlatformError>>
-  /** Waits until something under `prefix` changes after `revision`; resolves with no changes at the time-out. */
+  /** Waits for a change under `prefix` after `revision`; resolves with no changes at the time-out. */
   readonly watchObjects: (prefix: string, revision: number, timeoutMs: number) => Promise<Result<WatchEvents, PlatformError>>
   readonly listVms: () => Promise<Result<readonly Vm[], PlatformError>>
   readonly close: () => Promise<void>
--- a/src/types/request.ts
+++ b/src/types/request.ts
@@ -1,6 +1,6 @@
 /**
- * One request on its way: what the caller asked, what a backend server
- * answered, and the final answer. Adapters turn HTTP into these and back.
+ * A request as the caller sent it, the answer of a backend server, and the
+ * final answer to the caller. Adapters convert these types from and to HTTP.
  */
 import type { Result } from './result.js'
 
@@ -17,7 +17,7 @@
   readonly path: string
   readonly headers: Headers
   readonly body: Uint8Array
-  /** Bearer key, when the caller sent one. */
+  /** Bearer key, if the caller sent one. */
   readonly credential?: string
 }
 
@@ -29,14 +29,14 @@
   | 'overShare' | 'queueFull' | 'deadline' | 'platformUnavailable' | 'backendFailed'
   | 'answerIncomplete' | 'claimedElsewhere' | 'cancelled'
 
-/** The final answer when there is no complete one. It says what is known of the request. */
+/** The final answer when there is no complete one. States whether the request may have run. */
 export type Refusal = {
   readonly outcome: RefusalOutcome
   readonly reason: RefusalReason
   readonly message: string
-  /** HTTP status towards the caller. */
+  /** HTTP status returned to the caller. */
   readonly status: number
-  /** When to come back, in milliseconds; absent when coming back does not help. */
+  /** When to retry, in milliseconds; omitted when a retry does not help. */
   readonly retryAfterMs?: number
 }
 
@@ -57,12 +57,12 @@
   readonly path: string
   readonly headers: Headers
   readonly body: Uint8Array
-  /** Milliseconds that are left until the caller's deadline. */
+  /** Milliseconds remaining until the caller's deadline. */
   readonly timeoutMs: number
 }
 
 export type BackendError =
-  /** No byte of the request was written: it was surely not run. */
+  /** No byte of the request was written, so it was certainly not run. */
   | { readonly kind: 'notSent', readonly message: string }
   /** The request was written, at least in part; it may have run. */
   | { readonly kind: 'noAnswer', readonly message: string }
@@ -76,7 +76,7 @@
   | {
     readonly kind: 'cut'
     readonly message: string
-    /** Set when the connection was only silent for too long. */
+    /** Set when the body was cut off by the idle time-out. */
     readonly isIdle?: boolean
   }
 
@@ -85,17 +85,17 @@
   readonly headers: Headers
   /** Ends with exactly one `end` or `cut` part; never throws. */
   readonly body: AsyncIterable<BackendBodyPart>
-  /** Drops the connection, so that a crossed or unwanted answer goes no further. */
+  /** Closes the connection, so that an answer that is unwanted or belongs to another request is not forwarded. */
   readonly abort: () => void
 }
 
-/** What a backend server says of its load, late. */
+/** Load that a backend server reports of itself; the figures lag. */
 export type LoadReport = {
   readonly running: number
   readonly waiting: number
   readonly slots: number
   readonly leaving: boolean
-  /** How old the figures are, in milliseconds. */
+  /** Age of the figures in milliseconds. */
   readonly ageMs: number
 }
 
--- a/src/types/result.ts
+++ b/src/types/result.ts
@@ -1,6 +1,6 @@
 /**
- * Outcomes as values. An operation that can fail returns a `Result`; its error
- * is a tagged union. Exceptions are left for broken invariants.
+ * Outcomes as values: an operation that can fail returns a `Result` whose error
+ * is a tagged union. Exceptions are reserved for broken invariants.
  */
 
 export type Success<Value> = { readonly ok: true, readonly value: Value }
--- a/src/types/services.ts
+++ b/src/types/services.ts
@@ -1,6 +1,6 @@
 /**
- * The services of one router node, by the name under which the kernel has
- * them. A service sees the others only through these types.
+ * Interfaces of the services of a router node, which the kernel registers by
+ * name. Services depend on each other only through these types.
  */
 import type { Configuration, BackendServer, PlannedStop, Sheet } from './configuration.js'
 import type { LeavingMark, Member, AccountUsage, ClaimKey } from './peer.js'
@@ -9,22 +9,22 @@
 
 export type Membership = {
   readonly self: () => Member
-  /** Every member known, dead ones included until they are forgotten. */
+  /** All known members, including dead ones until their records expire. */
   readonly members: () => readonly Member[]
-  /** The members that get work: live and not leaving, this node included. */
+  /** The members that are live and not leaving, including this node. */
   readonly liveMembers: () => readonly Member[]
-  /** Tells peers that this node leaves; it goes on serving. */
+  /** Notifies peers that this node is leaving; it continues to serve. */
   readonly announceLeaving: () => void
   readonly onChange: (listener: () => void) => void
 }
 
-/** Where a backend server stands, for placement. */
+/** State of a backend server as placement sees it. */
 export type BackendServerState = 'live' | 'slowStart' | 'ejected' | 'leaving' | 'unreachable'
 
 export type BackendServerStatus = {
   readonly backendServer: string
   readonly state: BackendServerState
-  /** Share of its slots that placement may count on: below 1 during slow start. */
+  /** Share of its slots that placement may use: below 1 during slow start. */
   readonly weightShare: number
   /** Estimated requests in flight from the whole fleet. */
   readonly inFlight: number
@@ -43,7 +43,7 @@
 
 export type AttemptOutcome = 'complete' | 'notSent' | 'refused' | 'failed'
 
-/** Which backend servers may get new work, from reports, failures, stops and marks. */
+/** Tracks which backend servers may get new work, from load reports, failures, planned stops and leaving marks. */
 export type BackendHealth = {
   readonly status: (backendServer: string) => BackendServerStatus
   readonly statuses: () => readonly BackendServerStatus[]
@@ -53,27 +53,27 @@
   readonly mergeLeavingMarks: (marks: readonly LeavingMark[]) => void
 }
 
-/** Where a chat was last served: advice only, lost entries cost a cache miss. */
+/** Records which backend server last served a chat. Advisory: a lost entry only costs a cache miss. */
 export type ChatDirectory = {
   readonly lookUp: (chatKey: string) => Promise<string | undefined>
   readonly store: (chatKey: string, backendServer: string) => void
 }
 
 export type ConfigurationHolder = {
-  /** The configuration in force here; `undefined` until the node has one. */
+  /** The configuration in force on this node; `undefined` until the node has one. */
   readonly current: () => Configuration | undefined
   readonly generation: () => number
   readonly onChange: (listener: (configuration: Configuration) => void) => void
-  /** Why this node lacks a newer generation that it has heard of, when it does. */
+  /** A newer known generation that is not in force here yet, and the reason. */
   readonly pending: () => { readonly generation: number, readonly reason: string } | undefined
 }
 
 export type ClaimOutcome =
-  /** This node alone may send the request. */
+  /** The claim is granted: only this node may send the request. */
   | { readonly kind: 'granted', readonly claimId: string }
-  /** Complete earlier: the same answer again. */
+  /** The request completed earlier; the stored answer is returned again. */
   | { readonly kind: 'answered', readonly answer: StoredAnswer }
-  /** In flight or lost elsewhere: whether it ran is unknown. */
+  /** Another claim holds the key, in flight or lost: whether the request ran is unknown. */
   | { readonly kind: 'claimedElsewhere', readonly holder: string }
   /** The key was used before with another request body. */
   | { readonly kind: 'keyReused' }
@@ -88,22 +88,23 @@
 
 export type Claims = {
   /**
-   * Asks to be the one sender of a key. A repeat of a key that is in flight on
-   * this node waits for its answer until `waitUntil` (the clock's monotonic
-   * milliseconds); without it, the repeat is told `claimedElsewhere` at once.
+   * Claims the exclusive right to send the request of an idempotency key. A
+   * duplicate of a request in flight on this node waits for its answer until
+   * `waitUntil` (the clock's monotonic milliseconds); without `waitUntil` it
+   * gets `claimedElsewhere` at once.
    */
   readonly claim: (key: ClaimKey, bodyHash: string, waitUntil?: number) => Promise<ClaimOutcome>
-  /** Gives a claim back; only for a request that was surely not sent. */
+  /** Releases a claim. Only for a request that was certainly not sent. */
   readonly release: (key: ClaimKey, claimId: string) => Promise<void>
-  /** Records the final answer of a claimed request, so that a repeat gets it again. */
+  /** Stores the final answer of a claimed request, so that duplicate requests get the same answer. */
   readonly complete: (key: ClaimKey, claimId: string, answer: StoredAnswer) => Promise<void>
-  /** Ends the wait of repeats for a request that was sent and whose outcome will stay unknown. */
+  /** Stops duplicates from waiting for a request that was sent and whose outcome will stay unknown. */
   readonly recordUnknown?: (key: ClaimKey, claimId: string) => void
 }
 
 export type AdmissionTicket = { readonly finish: (tokensUsed: number) => void }
 
-/** Fair shares of a full backend pool between client accounts. */
+/** Divides a full backend pool fairly between client accounts. */
 export type Admission = {
   readonly admit: (demand: AdmissionDemand) => Promise<Result<AdmissionTicket, AdmissionRefusal>>
   readonly usage: () => readonly AccountUsage[]
@@ -121,11 +122,11 @@
 
 export type AdmissionRefusal = { readonly reason: RefusalReason, readonly retryAfterMs: number }
 
-/** What placement needs to know of a request. */
+/** The properties of a request that placement considers. */
 export type PlacementDemand = {
   readonly service: string
   readonly chatKey: string
-  /** From a verified hint or the chat directory; advice only. */
+  /** From a verified hint or the chat directory; advisory. */
   readonly hintedBackendServer?: string
   readonly isNewChat: boolean
   /** Backend servers that this request has already failed on. */
@@ -145,7 +146,7 @@
   readonly choose: (demand: PlacementDemand) => Placement
 }
 
-/** What became of every request that was accepted: accepted = complete + refused + unknown + open. */
+/** Counts accepted requests by outcome: accepted = complete + refused + unknown + open. */
 export type RequestLedger = {
   readonly accepted: number
   readonly complete: number
@@ -157,13 +158,13 @@
 export type Dispatch = {
   readonly handle: (request: CallerRequest, signal: AbortSignal) => Promise<CallerAnswer>
   readonly ledger: () => RequestLedger
-  /** Milliseconds that the oldest open request has been open; past every deadline it is a lost one. */
+  /** Milliseconds since the oldest open request was accepted. A value beyond every deadline means that a request was lost. */
   readonly oldestOpenMs: () => number
   /** Resolves when no request is open. */
   readonly whenIdle: () => Promise<void>
 }
 
-/** What the kernel holds, by name. */
+/** The services in the kernel, by name. */
 export type NodeServices = {
   readonly membership: Membership
   readonly loadView: LoadView
@@ -176,7 +177,7 @@
   readonly dispatch: Dispatch
 }
 
-/** A planned stop together with the backend server that it stops. */
+/** A planned stop together with one backend server that it applies to. */
 export type PlannedStopView = { readonly plannedStop: PlannedStop, readonly backendServer: BackendServer }
 
 export type SheetChange = {
--- a/src/types/settings.ts
+++ b/src/types/settings.ts
@@ -1,7 +1,7 @@
 /**
- * The settings of one router, checked. Times are milliseconds and sizes bytes
- * unless the name says otherwise; the schema in `src/cli/settings` has the
- * flags, environment variables, defaults and ranges.
+ * The validated settings of a router. Times are in milliseconds and sizes in
+ * bytes unless the name says otherwise. `src/settings/routerSettingDefinitions`
+ * has the flags, environment variables, defaults and ranges.
  */
 import type { PeerAddress } from './peer.js'
 
@@ -15,7 +15,7 @@
   readonly operatorPort: number
   readonly peerHost: string
   readonly peerPort: number
-  /** Address that peers use for this node, when it differs from the listener's. */
+  /** Address at which peers connect to this node, if it differs from the listener's. */
   readonly advertisedHost: string
   readonly advertisedPort: number
   readonly seedPeers: readonly PeerAddress[]
--- a/src/types/status.ts
+++ b/src/types/status.ts
@@ -1,4 +1,4 @@
-/** What a router says of itself on its operator port. */
+/** The status that a router serves on its operator port. */
 import type { AccountUsage, Member } from './peer.js'
 import type { BackendServerStatus, RequestLedger } from './services.js'
 
@@ -9,11 +9,11 @@
   readonly availabilityZone: string
   readonly region: string
   readonly version: string
-  /** Whether it takes new requests. */
+  /** Whether it accepts new requests. */
   readonly ready: boolean
   /** Generation of the configuration in force; 0 when there is none. */
   readonly generation: number
-  /** A newer generation that this node has heard of, and why it lacks it. */
+  /** A newer known generation that is not in force on this node yet, and the reason. */
   readonly pending?: PendingGeneration
   readonly members: readonly Member[]
   readonly backendServers: readonly BackendServerStatus[]
