--- a/src/services/configuration/_lib/choosePeers.ts
+++ b/src/services/configuration/_lib/choosePeers.ts
@@ -1,13 +1,13 @@
-/** Which peers to ask for a generation, in which order. */
+/** Selects the peers from which to fetch a generation, and their order. */
 import type { Member, RandomSource } from '../../../types/index.js'
 
 const ZONE_PEERS = 2
 const OTHER_PEERS = 1
 
 /**
- * Chooses a few peers that have at least a generation: some of the zone, then
- * one elsewhere; among equals at random, so that the load of a new generation
- * spreads over all who have it.
+ * Selects a few peers that have at least the given generation: first some in the
+ * same zone, then one in another zone. The selection is random, so that the
+ * fetches of a new generation are spread over all peers that have it.
  */
 export const choosePeers = (peers: readonly Member[], generation: number, self: { readonly nodeId: string, readonly availabilityZone: string }, random: RandomSource): readonly Member[] => {
   const holders = peers.filter((peer) => peer.nodeId !== self.nodeId && peer.state !== 'dead' && peer.generation >= generation)
--- a/src/services/configuration/_lib/createChunkFetcher.ts
+++ b/src/services/configuration/_lib/createChunkFetcher.ts
@@ -1,12 +1,12 @@
 /**
- * Fetching of one chunk: from peers in the zone first, since their links cost
- * nothing, then from other zones' peers, then from the platform.
+ * Fetches one chunk: first from peers in the same zone, since traffic within a
+ * zone is free, then from peers in other zones, then from the platform.
  */
 import { failure, success } from '../../../kernel/index.js'
 import type { Member, PeerTransport, Platform, RandomSource, Result } from '../../../types/index.js'
 import { choosePeers } from './choosePeers.js'
 
-/** Gives the bytes of a chunk that belongs to a generation, with their hash checked. */
+/** Fetches the bytes of a chunk of a generation and verifies their hash. */
 export type ChunkFetcher = (hash: string, generation: number) => Promise<Result<Uint8Array, string>>
 
 export type ChunkFetcherDependencies = {
@@ -22,7 +22,7 @@
 export const createChunkFetcher = (dependencies: ChunkFetcherDependencies, options: ChunkFetcherOptions): ChunkFetcher => {
   const { platform, peerTransport, hashContent } = dependencies
 
-  /** Bytes damaged on the way or at a peer have another hash; the next source is asked. */
+  /** Bytes that were damaged in transit or at the source have another hash; the next source is tried. */
   const check = (hash: string, source: string, bytes: Uint8Array | undefined): Result<Uint8Array, string> => {
     if (bytes === undefined) return failure(`${source} does not have it`)
     if (hashContent(bytes) !== hash) return failure(`${source} sent bytes of another hash`)
--- a/src/services/configuration/_lib/createInstaller.ts
+++ b/src/services/configuration/_lib/createInstaller.ts
@@ -1,6 +1,6 @@
 /**
- * The generation in force with its chunks, and the one way to replace it: all
- * chunks of a higher root fetched, checked and decoded, then one assignment.
+ * Holds the generation in force with its chunks. A higher root replaces it in
+ * one assignment, after all its chunks have been fetched, verified and decoded.
  */
 import { decodeChunk, type ChunkRecord } from '../../../decisions/decodeChunk/index.js'
 import { joinChunksToSheet } from '../../../decisions/joinChunksToSheet/index.js'
@@ -14,7 +14,7 @@
   readonly current: () => Configuration | undefined
   readonly generation: () => number
   readonly applyId: () => string | undefined
-  /** Gives the new configuration, `undefined` when the root is not higher, or why it could not be put in force. */
+  /** Returns the new configuration, `undefined` if the root's generation is not higher, or why it could not be put in force. */
   readonly install: (found: FoundRoot) => Promise<Result<Configuration | undefined, string>>
   readonly readRoot: () => Uint8Array | undefined
   readonly readChunk: (hash: string) => Uint8Array | undefined
@@ -24,14 +24,14 @@
 
 type InForce = FoundRoot & { readonly configuration: Configuration }
 
-/** Fetches in flight at once while a node takes in a generation. */
+/** Maximum chunk fetches in flight while a generation is installed. */
 const CONCURRENT_FETCHES = 8
 
 export const createInstaller = (fetchChunk: ChunkFetcher): Installer => {
   const chunks = new Map<string, KnownChunk>()
   let inForce: InForce | undefined
 
-  /** Chunks of failed attempts go as soon as another root is tried, so that failures cannot fill the memory. */
+  /** Drops chunks of failed attempts as soon as another root is tried, so that failures cannot fill the memory. */
   const dropUnused = (root: ConfigurationRoot): void => {
     const used = new Set([...root.chunks, ...inForce?.root.chunks ?? []])
     for (const hash of chunks.keys()) if (!used.has(hash)) chunks.delete(hash)
--- a/src/services/configuration/_lib/createPlatformWatch.ts
+++ b/src/services/configuration/_lib/createPlatformWatch.ts
@@ -1,7 +1,7 @@
 /**
- * How a node hears of a new root from the platform. A few nodes a zone hold a
- * watch; the others read the root now and then, in case that no peer tells
- * them. All of them read it when they start.
+ * Detects a new root at the platform. A few nodes per zone hold a watch; the
+ * others poll the root at a long interval, in case no peer reports a new one. All
+ * nodes read it when they start.
  */
 import { computeBackoff, type BackoffRange } from '../../../decisions/computeBackoff/index.js'
 import { failure, success } from '../../../kernel/index.js'
@@ -13,9 +13,9 @@
 export type PlatformWatch = {
   /** Runs until stopped. */
   readonly run: () => Promise<void>
-  /** Looks again whether this node should hold a watch. */
+  /** Checks again whether this node should hold a watch. */
   readonly reconsider: () => void
-  /** What the platform last said of the root, in words, for a node that has none. */
+  /** Text describing the last response of the platform about the root, for a node that has no configuration. */
   readonly state: () => string
 }
 
@@ -29,9 +29,9 @@
   readonly random: RandomSource
   readonly isWatcher: () => boolean
   readonly isRunning: () => boolean
-  /** Generation in force here, 0 for none. */
+  /** Generation in force on this node, 0 for none. */
   readonly generation: () => number
-  /** Called with each root read, and the generation that was in force here before the read began. */
+  /** Called with each root that was read, and the generation in force on this node before the read began. */
   readonly onRoot: (found: FoundRoot, generationBefore: number) => void
 }
 
@@ -52,7 +52,7 @@
     return success(undefined)
   }
 
-  /** The list gives the revision to watch from; the root is read after it, so that no change falls between. */
+  /** The list gives the revision to watch from. The root is read after it, so that no change is missed in between. */
   const beginWatch = async (): Promise<Result<undefined, string>> => {
     const list = await platform.listObjects(ROOT_NAME, { limit: 1 })
     if (!list.ok) return describeError(list.error)
@@ -62,11 +62,11 @@
   }
 
   /**
-   * After any failure the watch starts afresh. A root that was announced but
-   * could not be read would otherwise not be announced again, and a platform
+   * After any failure the watch starts from a new list. A root that was announced
+   * but could not be read would otherwise not be announced again, and a platform
    * restored from a backup may count revisions from a lower number. A platform
-   * that ends waiting watches at once counts as failing, so that it is not
-   * asked without a pause.
+   * that ends waiting watches at once counts as failing, so that calls to it are
+   * paced by the backoff.
    */
   const continueWatch = async (from: number): Promise<Result<undefined, string>> => {
     const startedAt = clock.now()
@@ -95,7 +95,7 @@
     return hasConfiguration() ? success(undefined) : read
   }
 
-  /** A watch that could be begun does not count as recovery: only one that was waited out, or that brought news, does. */
+  /** Starting a watch does not count as recovery and keeps the failure count. Only a watch that ran until its time-out or reported a change resets it. */
   const backOff = (problem: string): Promise<void> => {
     state = problem
     failures += 1
--- a/src/services/configuration/_lib/createRootReader.ts
+++ b/src/services/configuration/_lib/createRootReader.ts
@@ -1,4 +1,4 @@
-/** Reading of roots from peers and the platform, with what went wrong in words. */
+/** Reads roots from peers and the platform; failures are described as text. */
 import { decodeRoot } from '../../../decisions/decodeRoot/index.js'
 import { failure, success } from '../../../kernel/index.js'
 import type { Member, PeerTransport, Platform, Result } from '../../../types/index.js'
--- a/src/services/configuration/_lib/createSleeper.ts
+++ b/src/services/configuration/_lib/createSleeper.ts
@@ -1,8 +1,8 @@
-/** A wait that can be cut short, for a loop that backs off until there is news. */
+/** A delay that can be ended early, for a loop that backs off until there is an update. */
 import type { Clock } from '../../../types/index.js'
 
 export type Sleeper = {
-  /** Resolves after `delayMs`, or sooner when woken or stopped. */
+  /** Resolves after `delayMs`, or earlier on `wake` or `stop`. */
   readonly sleep: (delayMs: number) => Promise<void>
   readonly wake: () => void
   readonly stop: () => void
--- a/src/services/configuration/index.ts
+++ b/src/services/configuration/index.ts
@@ -1,10 +1,10 @@
 /**
- * The configuration in force on this node.
+ * Holds the configuration in force on this node.
  *
- * A node learns of a new generation from the platform or from any peer's
- * heartbeat, fetches the root and the chunks it lacks, checks their hashes and
- * switches in one step. It only ever moves upwards: a platform restored from a
- * backup, or a peer that lags, changes nothing here.
+ * A node detects a new generation at the platform or in a peer's heartbeat,
+ * fetches the root and the missing chunks, verifies their hashes and switches in
+ * one step. The generation never decreases: a platform restored from a backup,
+ * or a peer that lags, has no effect.
  */
 import { computeBackoff } from '../../decisions/computeBackoff/index.js'
 import { isZoneWatcher } from '../../decisions/isZoneWatcher/index.js'
@@ -20,7 +20,7 @@
 export type ConfigurationDependencies = {
   readonly platform: Platform
   readonly peerTransport: PeerTransport
-  /** The members that are known; this node is left out when it is among them. */
+  /** The known members. This node is ignored if it is among them. */
   readonly peers: () => readonly Member[]
   /** Calls the listener whenever a peer's state or generation may have changed. */
   readonly onPeerChange: (listener: () => void) => void
@@ -36,13 +36,13 @@
   readonly availabilityZone: string
   readonly watchTimeoutMs: number
   readonly peerTimeoutMs: number
-  /** Nodes of a zone that hold a watch at the platform; the others hear from them. 2 by default. */
+  /** Number of nodes per zone that hold a watch at the platform; the others get updates from them. 2 by default. */
   readonly watchersPerZone?: number
-  /** How often a node without a watch reads the root. A minute by default. */
+  /** Mean interval in milliseconds at which a node without a watch reads the root. A minute by default. */
   readonly pollIntervalMs?: number
   readonly minimumBackoffMs?: number
   readonly maximumBackoffMs?: number
-  /** Fetches after a peer's news are spread over this time, so that they find several holders. */
+  /** Fetches after a peer's update are spread over this time in milliseconds, so that more peers already have the chunks. */
   readonly fetchSpreadMs?: number
 }
 
@@ -59,9 +59,9 @@
 /**
  * Creates the holder of the configuration in force.
  *
- * It answers peers that ask for the root or a chunk. `start` returns at once;
- * until the first configuration is there `current()` is `undefined` and
- * `pending()` says why, with generation 0 when none has been heard of.
+ * It serves the root and the chunks to peers. `start` returns at once. Until the
+ * first configuration is in force, `current()` is `undefined` and `pending()`
+ * gives the reason, with generation 0 if no generation is known yet.
  *
  * @param dependencies - Platform, peers, clock, random source, logger and hash.
  * @param options - Name and zone of the node; times in milliseconds.
@@ -105,7 +105,7 @@
     for (const listener of listeners) listener(configuration)
   }
 
-  /** Asks peers that have a higher generation, until one of them has brought this node up to what was heard of. */
+  /** Queries peers that have a higher generation, until this node has the highest generation that it knows of. */
   const installFromPeers = async (): Promise<readonly string[]> => {
     const found: string[] = []
     for (const peer of choosePeers(others(), installer.generation() + 1, settings, random)) {
@@ -141,7 +141,7 @@
     refreshing = false
   }
 
-  /** A retry that waits out its backoff is woken by news of a generation that it did not seek yet. */
+  /** A generation that the last attempt did not look for ends the backoff of the next retry. */
   const onNews = (): void => {
     if (!running || !isBehind()) return
     if (refreshing && highestHeard() > soughtGeneration) refreshSleeper.wake()
@@ -206,11 +206,13 @@
   bytes === undefined ? { kind } : { kind, [field]: bytes }
 
 /**
- * A platform that lost the latest accepted root, restored from a backup, can
- * accept another under the same or a lower number. This node stays where it
- * is and says so; `sheet apply` then goes above what the fleet has. A root is
- * only held against the generation from before it was read: a reply that was
- * under way while a peer brought news is merely late.
+ * Describes a platform whose root conflicts with the generation in force. A
+ * platform that was restored from a backup without the latest accepted root can
+ * accept another one under the same or a lower generation. This node keeps its
+ * configuration and reports the conflict; `sheet apply` then uses a generation
+ * above the fleet's. A root is compared with the generation in force before it
+ * was read, because a reply that was in transit while a peer sent a newer root is
+ * only late.
  */
 const describeDivergence = (root: ConfigurationRoot, generationBefore: number, installer: Pick<Installer, 'generation' | 'applyId'>): string | undefined => {
   if (root.generation < generationBefore) return `the platform is back at generation ${root.generation}, below the one in force`
--- a/src/services/configuration/sources.test.ts
+++ b/src/services/configuration/sources.test.ts
@@ -3,12 +3,12 @@
 import { applyWeight, createStartedFleet, cutOff, failPlatform, type ConfigurationFleet } from '../../../test/_lib/createConfigurationFleet.js'
 import { createSheet } from '../../../test/_lib/createSheet.js'
 
-/** Nodes that start know no peers and all hold a watch; those that need not give it up when it times out. */
+/** Nodes that start know no peers and all hold a watch; surplus watchers stop when their watch times out. */
 const WATCH_TIMEOUT_MS = 30_000
 
 describe('sources of a generation', () => {
-  // A node that can't get a newer root would fall back to an older one that it still holds.
-  it('does not fall back to an older root when a newer one cannot be had', async () => {
+  // Guards against a node that falls back to an older root because it cannot fetch a newer one.
+  it('does not fall back to an older root when a newer one cannot be fetched', async () => {
     const fleet = createStartedFleet(3)
     await applyWeight(fleet, 1, 0)
     await fleet.run(4_000)
@@ -22,8 +22,8 @@
     expect(fleet.nodes[0]!.holder().pending()).toMatchObject({ generation: 3, reason: expect.stringContaining('platform: unavailable') })
   })
 
-  // A generation heard of from a peer that went away would be waited for in vain.
-  it('asks the platform when the peer it heard of a generation from is gone', async () => {
+  // Guards against a node that waits forever for a generation announced by a peer that is gone.
+  it('reads from the platform when the peer that announced a generation is gone', async () => {
     const fleet = createStartedFleet(3, 1)
     await applyWeight(fleet, 1, 0)
     await fleet.run(WATCH_TIMEOUT_MS + 4_000)
@@ -34,8 +34,8 @@
     expect(fleet.generations()).toEqual([2, 2, 2])
   })
 
-  // A node whose watchers are replaced at once would wait for its next poll.
-  it('takes up the watch when the watchers of its zone are dead', async () => {
+  // A zone that loses both watchers at once would otherwise get a new generation only at the next poll.
+  it('starts a watch when the watchers of its zone are dead', async () => {
     const fleet = createStartedFleet(3, 1)
     await applyWeight(fleet, 1, 0)
     await fleet.run(WATCH_TIMEOUT_MS + 4_000)
--- a/src/services/configuration/test.ts
+++ b/src/services/configuration/test.ts
@@ -35,7 +35,7 @@
     expect(fleet.nodes[0]!.holder().current()?.sheet).toEqual(createSheet(2))
   })
 
-  it('is announced once a generation', async () => {
+  it('is announced once per generation', async () => {
     const fleet = createStartedFleet(3)
     const heard: number[] = []
     fleet.nodes[2]!.holder().onChange(({ generation }) => heard.push(generation))
@@ -46,7 +46,7 @@
     expect(heard).toEqual([1, 2])
   })
 
-  it('is watched by two nodes of a zone only', async () => {
+  it('is watched by only two nodes per zone', async () => {
     const fleet = createStartedFleet(12)
     await fleet.run(90_000)
     const watchers = fleet.nodes.filter(({ platform }) => platform.calls().at(-1) === 'watch')
@@ -55,8 +55,8 @@
 })
 
 describe('configuration under faults', () => {
-  // A replaced VM could not serve while the platform is down.
-  it.each<CallFault>(['refused', 'paused'])('a node that boots while the platform is "%s" takes what its peers have', async (fault) => {
+  // A replaced VM must be able to serve while the platform is down.
+  it.each<CallFault>(['refused', 'paused'])('a node that boots while the platform is "%s" gets the configuration from its peers', async (fault) => {
     const fleet = createStartedFleet(3)
     await applyWeight(fleet, 1, 0)
     await fleet.run(4_000)
@@ -67,7 +67,7 @@
     expect(fleet.generations()).toEqual([1, 1, 1])
   })
 
-  it('a node that boots with neither platform nor peers serves nothing and says why', async () => {
+  it('a node that boots with neither platform nor peers has no configuration and reports why', async () => {
     const fleet = createConfigurationFleet(1)
     failPlatform(fleet.nodes, 'refused')
     fleet.nodes[0]!.start()
@@ -75,7 +75,7 @@
     expect(fleet.nodes[0]!.holder().pending()).toEqual({ generation: 0, reason: 'platform: unavailable' })
   })
 
-  // A node without the platform would keep an old generation.
+  // Guards against a node that keeps an old generation because it cannot reach the platform.
   it('a node without platform gets a new generation from its peers', async () => {
     const fleet = createStartedFleet(3)
     await applyWeight(fleet, 1, 0)
@@ -86,7 +86,7 @@
     expect(fleet.generations()).toEqual([2, 2, 2])
   })
 
-  // A cut zone would lose its generation, or stay behind after it is healed.
+  // Guards against a partitioned zone that loses its generation, or lags after the partition has healed.
   it('a zone that is cut off keeps its generation and catches up when healed', async () => {
     const fleet = createStartedFleet(6)
     await applyWeight(fleet, 1, 0)
@@ -102,11 +102,11 @@
     expect(new Set(fleet.generations())).toEqual(new Set([2]))
   })
 
-  // A damaged chunk would take the generation in force away.
+  // Guards against a damaged chunk that removes the generation in force.
   it.each([
     ['damaged', damageChunks, 'sent bytes of another hash'],
     ['missing', deleteChunks, 'does not have it']
-  ])('a chunk that is %s at the platform leaves the last generation in force and says so', async (_, spoil, reason) => {
+  ])('a chunk that is %s at the platform leaves the last generation in force and is reported', async (_, spoil, reason) => {
     const fleet = createStartedFleet(3)
     await applyWeight(fleet, 1, 0)
     await fleet.run(4_000)
@@ -119,8 +119,8 @@
     expect(fleet.nodes[0]!.holder().pending()).toMatchObject({ generation: 2, reason: expect.stringContaining(reason) })
   })
 
-  // A chunk damaged at the platform would be had from nobody.
-  it('a damaged chunk is taken from a peer that has the true one', async () => {
+  // A chunk that is damaged at the platform must still be fetched from peers.
+  it('a damaged chunk is fetched from a peer that has it intact', async () => {
     const fleet = createStartedFleet(2, 1)
     await applyWeight(fleet, 1, 0)
     await fleet.run(4_000)
@@ -131,7 +131,7 @@
     expect(fleet.generations()).toEqual([1, 1])
   })
 
-  // A platform restored from a backup would take nodes back.
+  // Guards against a platform restored from a backup that moves nodes to an older generation.
   it('never goes back when the platform serves an older root', async () => {
     const fleet = createStartedFleet(3)
     await applyWeight(fleet, 1, 0)
@@ -147,8 +147,8 @@
     expect(fleet.nodes[0]!.holder().pending()).toMatchObject({ reason: expect.stringContaining('the platform is back at generation 1') })
   })
 
-  // A number that stands for two sheets would go unnoticed.
-  it('says that the platform has another sheet under the generation in force', async () => {
+  // Guards against two sheets under the same generation that go unnoticed.
+  it('reports that the platform has another sheet under the generation in force', async () => {
     const fleet = createStartedFleet(1)
     await applyWeight(fleet, 1, 0)
     await fleet.run(4_000)
@@ -162,7 +162,7 @@
     expect(fleet.nodes[0]!.holder().pending()).toMatchObject({ generation: 2, reason: expect.stringContaining('another configuration under generation 2') })
   })
 
-  // A generation accepted in a long outage would wait for the next poll.
+  // Guards against a generation accepted during a long outage that is only found by the next poll.
   it('takes a generation within seconds after a long outage', async () => {
     const fleet = createStartedFleet(4, 1)
     await applyWeight(fleet, 1, 0)
@@ -178,8 +178,8 @@
 })
 
 describe('watch at the platform', () => {
-  // A root whose first read failed would wait for the next change of the sheet.
-  it('reads a root again whose first read failed', async () => {
+  // Guards against a root that is not read again after a failed read until the sheet changes once more.
+  it('reads a root again after its first read failed', async () => {
     const fleet = createStartedFleet(1)
     await applyWeight(fleet, 1, 0)
     await fleet.run(4_000)
@@ -191,9 +191,9 @@
   })
 })
 
-describe('platform under strain', () => {
-  // A platform that ends watches at once would get thousands of calls a second.
-  it('is not asked without a pause when it ends watches at once', async () => {
+describe('platform under stress', () => {
+  // A platform that ends watches at once would otherwise get thousands of calls a second.
+  it('is called with pauses when it ends watches at once', async () => {
     const fleet = createConfigurationFleet(1, 1, 1, { watchObjects: async () => ({ ok: true, value: { revision: 0, changes: [] } }) })
     fleet.nodes[0]!.start()
     await fleet.run(60_000)
--- a/src/services/membership/_lib/createRumours.ts
+++ b/src/services/membership/_lib/createRumours.ts
@@ -1,24 +1,24 @@
 /**
- * The news that goes out with the next heartbeats: each changed member for a
- * set number of ticks, and now and then any member, so that what a lost
- * message left wrong is put right in the end.
+ * Queue of the gossip updates for the next heartbeats. Each changed member is
+ * sent for a limited number of rounds. Every few ticks a random member is added,
+ * so that views that a lost message left inconsistent converge in the end.
  */
 import type { Member } from '../../../types/index.js'
 
 export type Rumours = {
-  /** Puts a member among the news. */
+  /** Adds a changed member to the queue. */
   readonly add: (nodeId: string) => void
-  /** The news of the next tick; counts as one round of telling. */
+  /** Returns the updates for the next tick; counts as one gossip round for each of them. */
   readonly take: (members: ReadonlyMap<string, Member>, nextRandom: () => number) => readonly Member[]
 }
 
 const MAXIMUM_RUMOURS = 16
 const RECALL_EVERY_TICKS = 4
 const EXTRA_ROUNDS = 1
-/** Each round goes to several peers, so that one doubles the nodes that know more than twice. */
+/** Each round goes to several peers, so that the number of informed nodes doubles more than twice per round. */
 const DOUBLINGS_PER_ROUND = 2
 
-/** Rounds of telling until n nodes know, and one for lost messages. */
+/** Gossip rounds until all members are informed, plus one for lost messages. */
 const roundsFor = (memberCount: number): number => Math.ceil(Math.log2(memberCount + 1) / DOUBLINGS_PER_ROUND) + EXTRA_ROUNDS
 
 export const createRumours = (): Rumours => {
@@ -32,8 +32,8 @@
     return [all[Math.floor(nextRandom() * all.length)]!]
   }
 
-  // What was told goes to the end of the line: when a whole zone is lost, each of
-  // its members is told of soon, and none waits until others have had all rounds.
+  // An update that was sent moves to the end of the queue. When all members of a zone are lost,
+  // each is announced soon and none waits until others have had all their rounds.
   const countRound = (nodeId: string, memberCount: number): void => {
     const rounds = Math.min(roundsLeft.get(nodeId) ?? 0, roundsFor(memberCount)) - 1
     roundsLeft.delete(nodeId)
--- a/src/services/membership/_lib/createSilence.ts
+++ b/src/services/membership/_lib/createSilence.ts
@@ -1,13 +1,10 @@
-/**
- * Since when each watched peer has been silent, and since when each member
- * has been under suspicion.
- */
+/** Failure detector: records when the last heartbeat of each watched peer arrived. */
 
 export type Silence = {
   readonly heard: (nodeId: string, now: number) => void
-  /** Starts the count for those newly watched and drops those no longer watched. */
+  /** Replaces the set of watched peers. The time without heartbeats of a newly watched peer counts from `now`. */
   readonly watch: (nodeIds: readonly string[], now: number) => void
-  /** Resets all silence so far. */
+  /** Treats all watched peers as if their last heartbeat had just arrived. */
   readonly reset: (now: number) => void
   readonly findSilent: (now: number, limitMs: number) => readonly string[]
 }
--- a/src/services/membership/index.ts
+++ b/src/services/membership/index.ts
@@ -1,8 +1,8 @@
 /**
- * Membership: which routers there are and how they stand. Heartbeats with
- * incarnation numbers, watched by a few peers, and rumours that carry what
- * was noticed. Views may differ for seconds; nothing that must hold rests on
- * their being equal.
+ * Membership: tracks the nodes of the fleet and their states. Each node sends
+ * heartbeats with an incarnation number, a few peers watch them, and gossip
+ * spreads state changes, as in SWIM. The views of nodes may differ for seconds;
+ * no invariant depends on equal views.
  */
 import { createRumours } from './_lib/createRumours.js'
 import { createSilence } from './_lib/createSilence.js'
@@ -26,35 +26,35 @@
 
 export type MembershipOptions = {
   readonly settings: Pick<RouterSettings, 'nodeId' | 'availabilityZone' | 'seedPeers' | 'heartbeatIntervalMs' | 'suspectAfterMs' | 'deadAfterMs'>
-  /** What peers dial; asked for once at the start, when the listener has its port. */
+  /** Address to which peers connect; read once at the start, when the listener has its port. */
   readonly address: () => PeerAddress
-  /** The configuration generation in force here. */
+  /** The configuration generation in force on this node. */
   readonly generation?: () => number
   readonly fanOut?: HeartbeatFanOut
-  /** Thousandths of a core that the VM gives this node. */
+  /** CPU available to this node in thousandths of a core. */
   readonly millicores?: number
-  /** How long a dead member is remembered; an hour by default. */
+  /** How long the record of a dead member is kept, in milliseconds; an hour by default. */
   readonly forgetAfterMs?: number
 }
 
 export const DEFAULT_FAN_OUT: HeartbeatFanOut = { fullMeshPeers: 12, zoneWatchers: 2, remoteWatchers: 1, randomZonePeers: 1, randomRemotePeers: 1 }
 
 const DEFAULT_FORGET_AFTER_MS = 3_600_000
-/** Members in one heartbeat to a newcomer; the rest follow in more heartbeats. */
+/** Members per heartbeat to a node that requested the complete list; it gets the list in several heartbeats. */
 const MEMBERS_PER_HEARTBEAT = 64
 const CONTACTS_PER_TICK_ALONE = 8
 const CONTACTS_PER_TICK = 1
 /**
- * A router that has just started and knows nobody looks for peers this often, in milliseconds, for so
- * long. After a loss of power all routers start within a second, and each heartbeat that
- * meets one not yet there would cost another interval without knowledge.
+ * A recently started node without peers contacts addresses at this interval, for the limit below, both in
+ * milliseconds. After a loss of power all nodes start within a second; with the heartbeat interval, a
+ * heartbeat to a node that is not listening yet would leave this one without peers for another interval.
  */
 const SEEK_INTERVAL_MS = 150
 const SEEK_LIMIT_MS = 3_000
-/** Times that a router which has just started asks a peer for all members, and milliseconds between them. */
+/** Number of requests for the complete member list after the start, and milliseconds between them. */
 const MEMBER_ASKS = 3
 const MEMBER_ASK_INTERVAL_MS = 1_000
-/** Ticks missed in a row from which this process must have been paused. */
+/** A gap between ticks of more than this many heartbeat intervals means that this process was paused. */
 const PAUSE_TICKS = 3
 
 type HeartbeatMarks = Pick<Heartbeat, 'membersWanted' | 'echoWanted' | 'isRoster'>
@@ -62,7 +62,7 @@
 const isSame = (one: PeerAddress, other: PeerAddress): boolean => one.host === other.host && one.port === other.port
 
 /**
- * Creates the membership of one router.
+ * Creates the membership service of one node.
  *
  * @param dependencies - Clock, random source, transport, the heartbeat exchange and the VM list.
  * @param options - Settings (milliseconds), the own address and generation, and the fan-out.
@@ -86,7 +86,7 @@
   let lastTickAt = clock.now()
   let startedAt = -Infinity
   let memberAsks = 0
-  // Wall time, so that a restarted router, which kept nothing, has a higher incarnation than before.
+  // The wall time gives a restarted node, which has no stored state, a higher incarnation than before.
   let ownRecord: Member = {
     nodeId: settings.nodeId,
     incarnation: clock.wallTime(),
@@ -151,8 +151,8 @@
     merge(member)
     silence.heard(member.nodeId, clock.now())
     const held = peers.get(member.nodeId)
-    // The sender is up, yet the fleet holds it suspect or dead: it was paused or
-    // cut off, and its own record can't win. Telling it lets it refute.
+    // The sender is up although the fleet has it as suspect or dead: it was paused or
+    // cut off, and its own record cannot override that. The reply lets it refute the suspicion.
     if (held !== undefined && held.state !== member.state) sendHeartbeat(member.address, [held])
     for (const rumour of heartbeat.rumours) merge(rumour, heartbeat.isRoster !== true)
     if (heartbeat.membersWanted === true) sendAllMembers(member)
@@ -166,13 +166,13 @@
     for (const nodeId of silence.findSilent(now, settings.suspectAfterMs)) {
       const peer = peers.get(nodeId)
       if (peer?.state === 'live') keep({ ...peer, state: 'suspect' })
-      // A leaving router goes silent by design, without standing suspect first.
+      // A leaving node stops sending heartbeats by design and is not suspected first.
       if (peer?.state === 'leaving' && silence.findSilent(now, settings.deadAfterMs).includes(nodeId)) keep({ ...peer, state: 'dead' })
     }
   }
 
-  // Two routers whose views differ don't agree on who watches whom: one that rightly sends its
-  // heartbeats to others would be suspected, and the rumours of it and its refutation keep the views apart.
+  // Nodes with different views disagree on who watches whom. A node that correctly sends its heartbeats
+  // to others would be suspected, and the gossip about it and its refutation would keep the views different.
   const askSilent = (now: number): void => {
     for (const nodeId of silence.findSilent(now, settings.suspectAfterMs / 2)) {
       const peer = peers.get(nodeId)
@@ -180,8 +180,8 @@
     }
   }
 
-  // After a start of all at once the first peer knew hardly anybody when it was asked, and
-  // rumours of every join take many rounds.
+  // When all nodes start at once, the first peer knew few members when it was queried, and
+  // gossip about every join takes many rounds.
   const askForMembers = (now: number): void => {
     if (memberAsks >= MEMBER_ASKS || now < startedAt + (memberAsks + 1) * MEMBER_ASK_INTERVAL_MS) return
     const up = reachablePeers()
@@ -205,7 +205,7 @@
     changedAt.delete(nodeId)
   }
 
-  /** Addresses at which a router may live that is not among the members that are up. */
+  /** Lists addresses at which a node may run that is not among the reachable members. */
   const findUnknownAddresses = (): readonly PeerAddress[] => {
     const listed = (vmList.current() ?? []).filter((vm) => vm.kind === 'router').map((vm) => parseAddress(vm.address))
     const dead = [...peers.values()].filter((peer) => peer.state === 'dead').map((peer) => peer.address)
@@ -214,9 +214,8 @@
     return candidates.filter((address) => !known.some((other) => isSame(other, address)))
   }
 
-  // Two sides of a healed partition hold each other dead and send no heartbeats
-  // to each other. Contacting the addresses of dead members and of seeds, a few at
-  // each tick, brings them together again.
+  // The two sides of a healed partition have each other as dead and exchange no heartbeats.
+  // Contacting a few addresses of dead members and of seeds at each tick joins them again.
   const contactUnknownAddresses = (): void => {
     const isAlone = reachablePeers().length === 0
     const unknownAddresses = [...findUnknownAddresses()]
@@ -236,8 +235,8 @@
 
   const tick = (): void => {
     const now = clock.now()
-    // After a pause of this process every peer looks silent, though it is this
-    // router that heard nothing. Judging them now would declare the fleet dead.
+    // After a pause of this process all heartbeats look overdue, because this node did not
+    // process them. Evaluating them now would declare the whole fleet dead.
     if (now - lastTickAt > PAUSE_TICKS * settings.heartbeatIntervalMs) silence.reset(now)
     lastTickAt = now
     suspectSilent(now)
--- a/src/services/membership/test.ts
+++ b/src/services/membership/test.ts
@@ -8,7 +8,7 @@
 
 const HEARTBEAT_MS = 500
 const SETTINGS = { heartbeatIntervalMs: HEARTBEAT_MS, suspectAfterMs: 2000, deadAfterMs: 6000 }
-/** Long enough that silence has become death everywhere. */
+/** Long enough for every node to declare a stopped one dead. */
 const SETTLE_MS = 20_000
 
 const addressOf = (name: string): PeerAddress => ({ host: name, port: 1 })
@@ -18,7 +18,7 @@
   const network = createMemoryPeerNetwork({ clock })
   const pausedUntil = new Map<string, number>()
   let vms: readonly Vm[] | undefined
-  // Timers of a paused node run when it wakes, as after SIGSTOP and SIGCONT.
+  // Timers of a paused node run when it resumes, as after SIGSTOP and SIGCONT.
   const createPausableClock = (name: string): Clock => ({
     ...clock,
     setTimer: (delayMs, callback) => {
@@ -73,7 +73,7 @@
   it.each([
     { size: 'small', names: FOUR, zones: ['venkov-a'] },
     { size: 'larger than the full mesh', names: TWENTY, zones: ['venkov-a', 'venkov-b', 'venkov-c'] }
-  ])('makes every node of a $size fleet known to every other', async ({ names, zones }) => {
+  ])('lets every node of a $size fleet discover every other', async ({ names, zones }) => {
     const fleet = createFleet(names, zones)
     const nodes = fleet.startAll()
     await fleet.clock.advanceAndSettle(SETTLE_MS)
@@ -100,7 +100,7 @@
     for (const node of nodes.slice(1)) expect(stateOf(node, names[0]!)).toBe('dead')
   })
 
-  it('keeps a stopped node dead although the lagging VM list still has it', async () => {
+  it('keeps a stopped node dead although the VM list lags and still has it', async () => {
     const fleet = createFleet(FOUR)
     const nodes = fleet.startAll()
     fleet.setVms(FOUR)
@@ -110,8 +110,8 @@
     expect(liveNames(nodes[1]!)).toEqual(['node-2', 'node-3', 'node-4'])
   })
 
-  // A paused node that was declared dead would stay dead after it wakes.
-  it('takes a paused node back after it wakes', async () => {
+  // Guards against a paused node that stays dead in its peers' views after it resumes.
+  it('lists a paused node as live again after it resumes', async () => {
     const fleet = createFleet(FOUR)
     const nodes = fleet.startAll()
     await fleet.clock.advanceAndSettle(SETTLE_MS)
@@ -122,8 +122,8 @@
     expect(liveNames(nodes[1]!)).toEqual(FOUR)
   })
 
-  // A woken node would judge its peers by its own silence.
-  it('suspects nobody on waking from a pause', async () => {
+  // A resumed node has missed heartbeats only because it was paused itself, and must not suspect its peers.
+  it('suspects no peer after its own pause', async () => {
     const fleet = createFleet(FOUR)
     const nodes = fleet.startAll()
     await fleet.clock.advanceAndSettle(SETTLE_MS)
@@ -134,7 +134,7 @@
     expect(states.filter((state) => state !== 'live')).toEqual([])
   })
 
-  it('puts a restarted node above its previous incarnation', async () => {
+  it('gives a restarted node a higher incarnation than before', async () => {
     const fleet = createFleet(FOUR)
     const nodes = fleet.startAll()
     await fleet.clock.advanceAndSettle(SETTLE_MS)
@@ -147,11 +147,11 @@
     expect(liveNames(nodes[1]!)).toEqual(FOUR)
   })
 
-  // Two zones that held each other dead would not meet again when healed.
+  // Two zones that have declared each other dead send no heartbeats to each other, even after the partition heals.
   it.each([
     { size: 'small', names: FOUR, zones: ['venkov-a', 'venkov-b'] },
     { size: 'larger than the full mesh', names: TWENTY, zones: ['venkov-a', 'venkov-b'] }
-  ])('brings the halves of a $size fleet together after a partition', async ({ names, zones }) => {
+  ])('joins the halves of a $size fleet after a partition', async ({ names, zones }) => {
     const fleet = createFleet(names, zones)
     const nodes = fleet.startAll()
     await fleet.clock.advanceAndSettle(SETTLE_MS)
@@ -164,7 +164,7 @@
     for (const node of nodes) expect(liveNames(node)).toEqual(names)
   })
 
-  it('gives a leaving node no more work, and still knows it', async () => {
+  it('does not list a leaving node as live, but still as a member', async () => {
     const fleet = createFleet(FOUR)
     const nodes = fleet.startAll()
     await fleet.clock.advanceAndSettle(SETTLE_MS)
@@ -174,8 +174,8 @@
     expect(stateOf(nodes[1]!, 'node-1')).toBe('leaving')
   })
 
-  // A node that starts alone would serve for half a second without what its peers know.
-  it('looks often for peers while it is young and alone', async () => {
+  // A node that starts before its peers would otherwise serve for half a second without their state.
+  it('contacts peers at a short interval while it has recently started and has none', async () => {
     const fleet = createFleet(['node-1', 'node-2'])
     const first = fleet.startNode('node-1')
     await fleet.clock.advanceAndSettle(HEARTBEAT_MS / 2 + 20)
