--- a/src/services/_lib/createSourceFollower.ts
+++ b/src/services/_lib/createSourceFollower.ts
@@ -1,21 +1,21 @@
 /**
- * Keeps a list in step with its source: it is read whole once and then followed
- * by watches. A node that relies on the readers of its zone reads nothing while
- * they are heard.
+ * Keeps a list in sync with its source: reads it completely once and then follows
+ * it by watches. A node that relies on the readers of its zone does not read the
+ * source while they report.
  */
 import { describeSourceError } from '../../decisions/describeSourceError/index.js'
 import { paceSourceReads } from '../../decisions/paceSourceReads/index.js'
 import type { SourceReadPace } from '../../decisions/paceSourceReads/index.js'
 import type { Clock, Result, SourceError, Timer } from '../../types/index.js'
 
-/** One reading of the source; what it brought is taken over by calling its value. */
+/** Result of one read of the source; calling its value applies what was read. */
 export type SourceReading = Result<() => void, SourceError>
 
 export type FollowedSource = {
   readonly readAll: () => Promise<SourceReading>
-  /** Waits for changes since the last reading. */
+  /** Waits for changes since the last read. */
   readonly watch: () => Promise<SourceReading>
-  /** Whether the list was read or learnt at least once. */
+  /** Whether the list has been read or received at least once. */
   readonly isKnown: () => boolean
   readonly onReached: () => void
   readonly onLost: (reason: string) => void
@@ -25,36 +25,36 @@
 export type SourceFollowerOptions = {
   /** Whether this node reads the source for its zone; the others rely on it. Every node does by default. */
   readonly isReader?: () => boolean
-  /** How long ago the others may have reached the source while a node relies on them, in milliseconds; 0 by default. */
+  /** Maximum age of a reader's last contact with the source while this node relies on readers, in milliseconds; 0 by default. */
   readonly relianceMs?: number
 }
 
 export type SourceFollower = {
   readonly start: () => void
   readonly stop: () => void
-  /** A peer that reached the source `ageMs` ago told what it knows. */
+  /** Reports that a peer sent the list, and that the peer reached the source `ageMs` ago. */
   readonly noteRelayed: (ageMs: number) => void
   readonly isReachable: () => boolean
-  /** Called when the source can't be read. */
+  /** Registers a listener that is called when the source cannot be read. */
   readonly onNeed: (listener: () => void) => void
 }
 
 const RETRY_MS = 200
-/** Entries lapse after three heartbeats of silence; an outage that was shorter takes none away. */
+/** Entries expire after three missed heartbeats, so that a shorter outage removes none. */
 const SHORTEST_LAPSE_MS = 3_000
 
 /**
  * Creates the follower of one list.
  *
  * @param clock - Time and timers.
- * @param source - How to read the list, and what to do with it.
- * @param options - Who else reads it.
- * @returns The follower; it reads from its start to its stop.
+ * @param source - How to read the list, and the handlers of the follower's events.
+ * @param options - Whether this node is a reader, and how long it may rely on others.
+ * @returns The follower; it runs from its start to its stop.
  */
 export const createSourceFollower = (clock: Clock, source: FollowedSource, options: SourceFollowerOptions): SourceFollower => {
   const needListeners: (() => void)[] = []
   let relayedAt = -Infinity
-  /** Undefined before the first answer, so that a source that was never reached is told as well. */
+  /** Undefined before the first response, so that a source that was never reached is reported as well. */
   let isReachable: boolean | undefined
   let isStopped = false
   let timer: Timer | undefined
@@ -84,7 +84,7 @@
 
   const pause = (ms: number): Promise<void> => new Promise((resolve) => { timer = clock.setTimer(ms, resolve) })
 
-  /** A node without a list relies on nobody. */
+  /** A node without a list does not rely on readers. */
   const pace = (): SourceReadPace => paceSourceReads({
     isReader: !source.isKnown() || options.isReader?.() !== false,
     ageMs: clock.now() - relayedAt,
@@ -92,7 +92,7 @@
     readerRetryMs: RETRY_MS
   })
 
-  /** Entries may have lapsed in an outage that only the readers saw: to this node the source then comes back as well. */
+  /** Entries may have expired in an outage that only the readers noticed, so this node then reports the source as reached again. */
   const endReliance = (): void => {
     if (clock.now() - relayedAt > SHORTEST_LAPSE_MS) isReachable = undefined
   }
--- a/src/services/auditTrail/index.ts
+++ b/src/services/auditTrail/index.ts
@@ -1,8 +1,8 @@
 /**
- * The audit trail: one object for each try to change the configuration, named
- * `audit/<generation, zero-padded>.<apply id>` by the generation that the try
- * would make, so that names sort by time and two operators never write the
- * same one.
+ * The audit trail: one object per attempt to change the configuration, named
+ * `audit/<generation, zero-padded>.<apply id>` after the generation that the
+ * attempt would create. Names therefore sort by time, and two operators never
+ * write the same object.
  */
 import { z } from 'zod'
 import { mapInBatches, success } from '../../kernel/index.js'
@@ -19,11 +19,11 @@
 export type AuditListing = { readonly entries: readonly AuditEntry[], readonly unreadable: number }
 
 export type AuditTrail = {
-  /** Writes an entry before its change is tried. A failure means that the change must not be tried. */
+  /** Writes an entry before its change is attempted. On failure the change must not be attempted. */
   readonly begin: (entry: AuditEntry) => Promise<Result<undefined, PlatformError>>
-  /** Writes what became of a try. */
+  /** Records the outcome of an attempt. */
   readonly settle: (entry: AuditEntry, outcome: AuditOutcome, reason?: string) => Promise<Result<undefined, PlatformError>>
-  /** Settles what operators left as attempted up to the generation in force, whose root tells which try won. */
+  /** Records the outcome of entries left as `attempted` up to the generation in force; its root shows which attempt was accepted. */
   readonly settleLeftOver: (root: ConfigurationRoot) => Promise<void>
   /** Deletes the oldest entries beyond the bound, a few at a time. */
   readonly prune: () => Promise<void>
@@ -48,11 +48,11 @@
 type NamedVersion = { readonly name: string, readonly version: ObjectVersion }
 
 /**
- * Creates the audit trail over the platform.
+ * Creates the audit trail.
  *
- * @param platform - Where the entries are kept.
+ * @param platform - The platform that stores the entries.
  * @param options - `maximumEntries`, the number of entries kept; 5,000 by default, three weeks at 240 changes a day.
- * @returns The trail.
+ * @returns The audit trail.
  *
  * @example
  * const trail = createAuditTrail(platform)
@@ -72,7 +72,7 @@
     return success(names)
   }
 
-  /** The name holds the apply id, which one operator drew: a conflict means that an earlier try of this write took effect. */
+  /** The name contains the unique apply id, so a conflict means that an earlier attempt of this write took effect. */
   const create = async (entry: AuditEntry): Promise<Result<undefined, PlatformError>> => {
     let written = await platform.createObject(nameEntry(entry), encode(entry))
     for (let tries = 1; tries < MAXIMUM_WRITE_TRIES && isUnknown(written); tries += 1) written = await platform.createObject(nameEntry(entry), encode(entry))
--- a/src/services/auditTrail/test.ts
+++ b/src/services/auditTrail/test.ts
@@ -23,11 +23,11 @@
 }
 
 describe('audit trail', () => {
-  it('reads nothing where nothing was written', async () => {
+  it('is empty when nothing was written', async () => {
     expect(await trail.read(10)).toEqual({ ok: true, value: { entries: [], unreadable: 0 } })
   })
 
-  it('sorts by generation, also past a power of ten', async () => {
+  it('sorts by generation across a change in the number of digits', async () => {
     for (const generation of [100, 9, 10]) await trail.begin(createEntry(generation))
     expect(await listGenerations()).toEqual([9, 10, 100])
   })
@@ -38,13 +38,13 @@
     expect(await listGenerations()).toEqual([3, 4, 5])
   })
 
-  it('counts an entry that it cannot read, and shows the others', async () => {
+  it('counts an unreadable entry and returns the others', async () => {
     await trail.begin(createEntry(1))
     await platform.createObject('audit/000000000002.x', new Uint8Array([0]))
     expect(await trail.read(10)).toMatchObject({ ok: true, value: { entries: [{ generationTo: 1 }], unreadable: 1 } })
   })
 
-  // The repeat of a write whose reply was lost would fail or leave a second entry.
+  // Guards against the retry of a write whose reply was lost: it would fail or leave a second entry.
   it('writes an entry once when the reply is lost', async () => {
     let writes = 0
     platform.setFault((call) => call === 'create' && writes++ === 0 ? 'replyLost' : 'none')
--- a/src/services/configurationStore/_lib/createChunkStore.ts
+++ b/src/services/configurationStore/_lib/createChunkStore.ts
@@ -1,14 +1,14 @@
 /**
- * The chunks at the platform: read, written before the root that names them,
- * and deleted when no root needs them any more.
+ * Reads, writes and deletes chunks at the platform. Chunks are written before the
+ * root that references them and deleted when no root references them any more.
  *
- * Deleting races with another operator who writes a root that uses the same
- * chunk again. The guard: a writer rewrites ("touches") each chunk that its
- * new root needs and the root in force does not have, which gives the chunk a
- * new version; a sweep deletes only at versions listed before its own root was
- * accepted. A writer that planned on the older root fails its condition, and
- * one that planned on the newer root touched the chunk after the list, so that
- * the delete fails.
+ * A deletion can race with another operator who writes a root that uses the same
+ * chunk again. To guard against that, a writer rewrites ("touches") each chunk that
+ * its new root needs and the root in force lacks, which gives the chunk a new
+ * version. A sweep deletes only versions that were listed before its own root was
+ * accepted. A writer that planned on the older root fails the root's condition. A
+ * writer that planned on the newer root touched the chunk after the list, so that
+ * the deletion fails.
  */
 import { decodeChunk, type ChunkRecord } from '../../../decisions/decodeChunk/index.js'
 import { joinChunksToSheet } from '../../../decisions/joinChunksToSheet/index.js'
@@ -21,7 +21,7 @@
   readonly list: () => Promise<Result<ChunkVersions, PlatformError>>
   readonly readSheet: (root: ConfigurationRoot) => Promise<Result<Sheet, string>>
   readonly write: (chunks: readonly ConfigurationChunk[], root: ConfigurationRoot | undefined, listed: ChunkVersions) => Promise<Result<undefined, PlatformError>>
-  /** Deletes chunks that neither root has, at the versions listed; best effort. */
+  /** Deletes the listed versions of chunks that none of the roots references; best effort. */
   readonly sweep: (listed: ChunkVersions, roots: readonly (ConfigurationRoot | undefined)[]) => Promise<void>
 }
 
@@ -47,7 +47,7 @@
   const writeOnce = (name: string, bytes: Uint8Array, version: ObjectVersion | undefined): Promise<Result<ObjectVersion, PlatformError>> =>
     version === undefined ? platform.createObject(name, bytes) : platform.updateObject(name, bytes, version)
 
-  /** Content decides the name, so that any repeat writes the same bytes and a lost reply does no harm. */
+  /** The name is the hash of the content, so every retry writes the same bytes and a lost reply does no harm. */
   const writeChunk = async ({ hash, bytes }: ConfigurationChunk, listed: ObjectVersion | undefined): Promise<Result<undefined, PlatformError>> => {
     const name = `${PREFIX}${hash}`
     let written = await writeOnce(name, bytes, listed)
--- a/src/services/configurationStore/_lib/writeRoot.ts
+++ b/src/services/configurationStore/_lib/writeRoot.ts
@@ -1,11 +1,10 @@
 /**
- * The conditional write of the root, which accepts a sheet, and what to make of
- * a lost reply.
+ * Writes the root conditionally, which accepts a sheet, and handles lost replies.
  *
- * After a lost reply the same write is repeated under the same condition: the
- * object can leave the expected version only once, so that whichever of the
- * two took effect, the other cannot any more. When the version has moved on,
- * the root and its history tell whether it was this apply that moved it.
+ * After a lost reply the same write is retried under the same condition. The
+ * object can leave the expected version only once, so at most one of the two
+ * writes takes effect. If the version has changed, the root and its history show
+ * whether this apply changed it.
  */
 import { decodeRoot } from '../../../decisions/decodeRoot/index.js'
 import { encodeRoot } from '../../../decisions/encodeRoot/index.js'
@@ -15,9 +14,9 @@
 
 export type RootWrite =
   | { readonly kind: 'accepted', readonly replacedBy?: ConfigurationRoot }
-  /** Another root is there; this one surely never was. */
+  /** Another root was written; this one certainly was not. */
   | { readonly kind: 'lost', readonly winner?: ConfigurationRoot }
-  /** Surely never written. */
+  /** Certainly not written. */
   | { readonly kind: 'notWritten', readonly message: string }
   | { readonly kind: 'unknown', readonly message: string }
 
@@ -59,9 +58,9 @@
   if (winner.applyId === root.applyId) return { kind: 'accepted' }
   if (winner.history.some(({ applyId }) => applyId === root.applyId)) return { kind: 'accepted', replacedBy: winner }
   if (!wasLost || reachesBack(winner, root.generation)) return { kind: 'lost', winner }
-  return { kind: 'unknown', message: `generation ${winner.generation} is in force and no longer remembers generation ${root.generation}` }
+  return { kind: 'unknown', message: `generation ${winner.generation} is in force and its history does not reach back to generation ${root.generation}` }
 }
 
-/** Whether the history is long enough to name who took a generation. */
+/** Checks whether the history reaches back far enough to show which apply created a generation. */
 const reachesBack = (winner: ConfigurationRoot, generation: number): boolean =>
   [winner, ...winner.history].some((applied) => applied.generation <= generation)
--- a/src/services/configurationStore/index.ts
+++ b/src/services/configurationStore/index.ts
@@ -1,10 +1,10 @@
 /**
- * Changes of the configuration, from an operator's side: what a sheet would
- * change, and putting it in force as the next generation.
+ * Changes the configuration on behalf of an operator: plans what a sheet would
+ * change, and applies it as the next generation.
  *
- * Order of an apply: the audit entry, the chunks, then the conditional write
- * of the root, which alone accepts. Whatever fails before that write left
- * nothing in force.
+ * An apply writes the audit entry, then the chunks, then the root. Only the
+ * conditional write of the root accepts the sheet; a failure before it leaves the
+ * configuration unchanged.
  */
 import { compareSheets } from '../../decisions/compareSheets/index.js'
 import { computeBackoff } from '../../decisions/computeBackoff/index.js'
@@ -18,7 +18,7 @@
 import type { AppliedGeneration, AuditEntry, Clock, ConfigurationRoot, ObjectVersion, Platform, RandomSource, Result, Sheet, SheetChange } from '../../types/index.js'
 import type { AuditTrail } from '../auditTrail/index.js'
 
-/** The generation at the platform, with its sheet and the version that an update must name. */
+/** The generation at the platform, with its sheet and the object version that an update must state. */
 export type StoredConfiguration = {
   readonly root: ConfigurationRoot
   readonly version: ObjectVersion
@@ -28,7 +28,7 @@
 export type StoreError = { readonly kind: 'unavailable', readonly message: string } | { readonly kind: 'damaged', readonly message: string }
 
 export type SheetPlan = {
-  /** Generation that the plan was made against; 0 when no sheet has been applied. */
+  /** Generation on which the plan is based; 0 when no sheet has been applied. */
   readonly plannedAgainst: number
   readonly changes: readonly SheetChange[]
   readonly inForce?: AppliedGeneration
@@ -41,20 +41,20 @@
   readonly applyId: string
   /** For the audit trail, for example `sheet apply`. */
   readonly action: string
-  /** Highest generation seen on a router: a platform restored from a backup may be behind the fleet. */
+  /** Highest generation in force on any router. A platform restored from a backup may lag behind the fleet. */
   readonly fleetGeneration?: number
 }
 
 export type ApplyOutcome =
   | { readonly kind: 'applied', readonly generation: number, readonly changes: readonly SheetChange[], readonly replacedBy?: AppliedGeneration, readonly isAuditSettled: boolean }
   | { readonly kind: 'unchanged', readonly generation: number }
-  /** Surely not accepted: another operator's change is in force. `differences` are what this sheet would change now. */
+  /** Certainly not accepted: another operator's change is in force. `differences` are the changes that this sheet would make now. */
   | { readonly kind: 'conflict', readonly inForce?: AppliedGeneration, readonly differences?: readonly SheetChange[] }
   /** It may or may not have been accepted. */
   | { readonly kind: 'outcomeUnknown', readonly applyId: string, readonly generation: number, readonly message: string }
-  /** Surely not accepted. */
+  /** Certainly not accepted. */
   | { readonly kind: 'unavailable', readonly message: string }
-  /** Surely not accepted: what is at the platform cannot be read. */
+  /** Certainly not accepted: the configuration at the platform cannot be decoded. */
   | { readonly kind: 'damaged', readonly message: string }
 
 export type ConfigurationStore = {
@@ -74,14 +74,14 @@
   readonly hashContent: (content: string | Uint8Array) => string
 }
 
-/** Enough to settle a lost reply; every node fetches the root at each change, so that it stays short. */
+/** Long enough to determine the outcome after a lost reply, and short because every node fetches the root at each change. */
 const MAXIMUM_HISTORY = 16
 const RETRY = { minimumBackoffMs: 200, maximumBackoffMs: 3_000 }
 
 type Prepared = { readonly root: ConfigurationRoot, readonly listed: ChunkVersions, readonly entry: AuditEntry, readonly changes: readonly SheetChange[] }
 
 /**
- * Creates the operator's side of the configuration.
+ * Creates the store through which operators read and change the configuration.
  *
  * @param dependencies - Platform, audit trail, clock, random source and hash.
  * @returns Functions to read, plan and apply.
@@ -161,7 +161,7 @@
   }
 
   const writePrepared = async (application: SheetApplication, current: StoredConfiguration | undefined): Promise<ApplyOutcome> => {
-    // The list comes after the root was read and before it is written: the sweep's guard rests on this order.
+    // The chunks are listed after the root is read and before it is written; the guard of the sweep depends on this order.
     const listed = await chunkStore.list()
     if (!listed.ok) return { kind: 'unavailable', message: `the chunks could not be listed: ${listed.error.kind}` }
     const prepared = prepare(application, current, listed.value)
@@ -207,7 +207,7 @@
   }
 }
 
-/** An apply that is repeated with its id, after the first answer was lost, is not applied again. */
+/** Finds an earlier apply with the same id, so that an operator's retry after a lost answer is not applied twice. */
 const findEarlier = (applyId: string, root?: ConfigurationRoot): ApplyOutcome | undefined => {
   const applied = root === undefined ? undefined : [root, ...root.history].find((candidate) => candidate.applyId === applyId)
   if (applied === undefined || root === undefined) return undefined
--- a/src/services/configurationStore/test.ts
+++ b/src/services/configurationStore/test.ts
@@ -19,7 +19,7 @@
 
 const isRootWrite = (call: string, name: string): boolean => name === 'configuration/root' && (call === 'create' || call === 'update')
 
-/** Faults of the writes of the root, one after the other; the last goes on. */
+/** Sets the faults of successive writes of the root; the last one applies to all further writes. */
 const failRootWrites = (...faults: readonly CallFault[]): void => {
   let writes = 0
   faulty.setFault((call, name) => isRootWrite(call, name) ? faults[Math.min(writes++, faults.length - 1)]! : 'none')
@@ -42,22 +42,22 @@
     expect(current.ok && current.value?.sheet).toEqual(createSheet())
   })
 
-  it('says that an equal sheet changes nothing, and writes nothing', async () => {
+  it('reports that an equal sheet changes nothing, and writes nothing', async () => {
     await jana.apply(createSheet(), 0)
     const revision = memory.revision()
     expect(await petr.apply(createSheet(), 1)).toEqual({ kind: 'unchanged', generation: 1 })
     expect(memory.revision()).toBe(revision)
   })
 
-  // An operator who planned against an older generation would overwrite another's sheet.
-  it('refuses a sheet planned against an older generation, and says who won', async () => {
+  // Guards against an operator whose plan is based on an older generation and overwrites another's sheet.
+  it('refuses a sheet planned on an older generation, and reports whose is in force', async () => {
     await jana.apply(createSheet(1), 0)
     await petr.apply(createSheet(2), 1)
     expect(await jana.apply(createSheet(3), 1)).toMatchObject({ kind: 'conflict', inForce: { generation: 2, appliedBy: 'petr' }, differences: [{ name: 'account-0' }] })
     expect(await readGeneration()).toBe(2)
   })
 
-  // A sheet accepted just before the write of the root would be overwritten.
+  // Guards against overwriting a sheet that was accepted just before the root is written.
   it('refuses a sheet when another is accepted just before the root is written', async () => {
     await jana.apply(createSheet(1), 0)
     let raced = false
@@ -72,22 +72,22 @@
     expect(await listOutcomes()).toEqual(['jana-1 accepted', 'jana-2 refused', 'petr-1 accepted'])
   })
 
-  // An operator whose reply was lost would be told what is not so, or apply twice.
+  // Guards against a wrong outcome, or a second apply, after the reply to the write of the root was lost.
   it.each<[string, readonly CallFault[], string, number]>([
     ['the write took effect', ['replyLost', 'none'], 'applied', 2],
-    ['the write was lost and the repeat took effect', ['late', 'none'], 'applied', 2],
+    ['the write was lost and the retry took effect', ['late', 'none'], 'applied', 2],
     ['both replies were lost after the first took effect', ['replyLost', 'replyLost', 'none'], 'applied', 2],
     ['the platform then was down for good', ['late', 'refused'], 'outcomeUnknown', 1],
     ['the platform was down from the start', ['refused'], 'unavailable', 1]
-  ])('after a lost reply tells the truth when %s', async (_, faults, kind, generation) => {
+  ])('reports the correct outcome after a lost reply when %s', async (_, faults, kind, generation) => {
     await jana.apply(createSheet(1), 0)
     failRootWrites(...faults)
     expect(await jana.apply(createSheet(2), 1)).toMatchObject({ kind })
     expect(await readGeneration()).toBe(generation)
   })
 
-  // An apply that was accepted and replaced would pass for refused.
-  it('finds its own acceptance after a lost reply and a later generation', async () => {
+  // Guards against reporting an apply as refused that was accepted and then replaced.
+  it('detects that it was accepted after a lost reply and a later generation', async () => {
     await jana.apply(createSheet(1), 0)
     let writes = 0
     faulty.setFault(async (call, name): Promise<CallFault> => {
@@ -99,8 +99,8 @@
     expect(await jana.apply(createSheet(2), 1)).toMatchObject({ kind: 'applied', generation: 2, replacedBy: { generation: 3, appliedBy: 'petr' } })
   })
 
-  // A lost write behind a racing operator would pass for accepted.
-  it('finds that it lost after a lost write and a racing operator', async () => {
+  // Guards against reporting a lost write as accepted when another operator's write won the race.
+  it('detects that it was refused after a lost write and a concurrent apply', async () => {
     await jana.apply(createSheet(1), 0)
     let writes = 0
     faulty.setFault(async (call, name): Promise<CallFault> => {
@@ -112,8 +112,8 @@
     expect(await jana.apply(createSheet(2), 1)).toMatchObject({ kind: 'conflict', inForce: { appliedBy: 'petr' } })
   })
 
-  // A write held up on its way would undo what came after it.
-  it('is not undone by a write that arrives late', async () => {
+  // Guards against a delayed write that overwrites a later generation.
+  it('is not overwritten by a delayed write', async () => {
     await jana.apply(createSheet(1), 0)
     failRootWrites('late', 'none')
     expect(await jana.apply(createSheet(2), 1)).toMatchObject({ kind: 'applied', generation: 2 })
@@ -129,8 +129,8 @@
     expect(await readGeneration()).toBe(2)
   })
 
-  // After a restore a sheet would be accepted that is in force nowhere.
-  it('goes above the generation of the fleet after the platform was restored', async () => {
+  // Guards against a restored platform that accepts a sheet under a generation at or below the fleet's, so that no node puts it in force.
+  it('uses a generation above the fleet\'s after the platform was restored', async () => {
     await jana.apply(createSheet(1), 0)
     expect(await jana.apply(createSheet(1), 1, { fleetGeneration: 7 })).toMatchObject({ kind: 'applied', generation: 8 })
   })
@@ -142,7 +142,7 @@
     expect(await readGeneration()).toBe(1)
   })
 
-  it('says that the platform is damaged when a chunk has other bytes', async () => {
+  it('reports a damaged platform when a chunk has other bytes', async () => {
     await jana.apply(createSheet(1), 0)
     const list = await memory.listObjects('configuration/chunks/')
     const chunk = list.ok ? list.value.objects[0]! : undefined
@@ -162,7 +162,7 @@
     expect(await countChunks()).toBe(2)
   })
 
-  // A sweep would take a chunk away from a sheet about to use it again.
+  // Guards against a sweep that deletes a chunk which a concurrent apply uses again.
   it('leaves a chunk that another operator is about to use again', async () => {
     for (let weight = 1; weight <= 2; weight += 1) await petr.apply(createSheet(weight), weight - 1)
     const slow = createFaultyPlatform(memory)
@@ -182,8 +182,8 @@
 })
 
 describe('audit trail', () => {
-  // The entry of an operator whose machine stopped would say attempted for ever.
-  it('settles the entry of an operator whose machine stopped', async () => {
+  // Guards against an entry that stays `attempted` forever because the operator's machine stopped.
+  it('records the outcome for an operator whose machine stopped', async () => {
     await petr.apply(createSheet(1), 0)
     let isAccepted = false
     faulty.setFault((call, name) => {
--- a/src/services/gatewayConfiguration/_lib/createConfigurationHistory.ts
+++ b/src/services/gatewayConfiguration/_lib/createConfigurationHistory.ts
@@ -1,6 +1,7 @@
 /**
- * The configurations that were lately in force here, and what a peer that
- * holds one of them lacks. It is worked out once for all peers that hold the same.
+ * Keeps the configurations that were recently in force on this node and computes
+ * the update for a peer that has one of them. The update is computed once for
+ * all peers that have the same revision.
  */
 import { compareRecords } from '../../../decisions/compareRecords/index.js'
 import { packRecords } from './packRecords.js'
@@ -9,11 +10,11 @@
 export type ConfigurationHistory = {
   readonly add: (sourced: SourcedConfiguration) => void
   readonly find: (revision: number) => SourcedConfiguration | undefined
-  /** What a peer with the configuration of `revision` needs for the newest; all of it when that is unknown here. */
+  /** Returns the update from `revision` to the newest configuration; the complete one if `revision` is unknown on this node. */
   readonly newsSince: (revision: number) => ConfigurationNews | undefined
 }
 
-/** Configurations kept; they share the records that did not change. */
+/** Number of configurations kept; they share the records that did not change. */
 const CONFIGURATIONS_KEPT = 32
 
 export const createConfigurationHistory = (): ConfigurationHistory => {
--- a/src/services/gatewayConfiguration/_lib/packRecords.ts
+++ b/src/services/gatewayConfiguration/_lib/packRecords.ts
@@ -1,25 +1,25 @@
 /**
- * All records of a configuration in few bytes, for a node that holds none.
- * Hundreds of routes are much alike and shrink to a twelfth, so that a reader
- * on a slow link can serve its zone after a loss of power.
+ * Compresses all records of a configuration, for a node that has none. Hundreds
+ * of similar routes shrink to a twelfth, so that a reader on a slow link can
+ * supply its zone after a loss of power.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib'
 import type { ConfigurationRecords, Result } from '../../../types/index.js'
 import { failure, success } from '../../../kernel/index.js'
 
-/** The fastest; better ones save next to nothing here. */
+/** The fastest level of deflate; higher levels save next to nothing on this data. */
 const LEVEL = 1
-/** Far above any configuration; bounds what a malformed message can cost. */
+/** Far above the size of any configuration; bounds the memory that a malformed message can use. */
 const MAXIMUM_BYTES = 16 * 1024 * 1024
 
 const isRecords = (value: unknown): value is ConfigurationRecords =>
   typeof value === 'object' && value !== null && Object.values(value).every(Array.isArray)
 
 /**
- * Packs records.
+ * Compresses records.
  *
- * @param records - Records by section, of values that JSON can hold.
- * @returns The packed bytes.
+ * @param records - Records by section, of JSON values.
+ * @returns The compressed bytes.
  *
  * @example
  * packRecords({ routes: [] })
@@ -27,10 +27,10 @@
 export const packRecords = (records: ConfigurationRecords): Uint8Array => deflateRawSync(JSON.stringify(records), { level: LEVEL })
 
 /**
- * Unpacks records.
+ * Decompresses records.
  *
- * @param bytes - As `packRecords` made them.
- * @returns The records, or what is wrong with the bytes.
+ * @param bytes - Output of `packRecords`.
+ * @returns The records, or a text that says why the bytes are invalid.
  *
  * @example
  * unpackRecords(packRecords({ routes: [] })) // => { ok: true, value: { routes: [] } }
@@ -38,8 +38,8 @@
 export const unpackRecords = (bytes: Uint8Array): Result<ConfigurationRecords, string> => {
   try {
     const records: unknown = JSON.parse(inflateRawSync(bytes, { maxOutputLength: MAXIMUM_BYTES }).toString('utf8'))
-    return isRecords(records) ? success(records) : failure('packed records are not lists by section')
+    return isRecords(records) ? success(records) : failure('packed records are not an object of arrays')
   } catch (error) {
-    return failure(`packed records are not readable: ${error instanceof Error ? error.message : String(error)}`)
+    return failure(`packed records cannot be decoded: ${error instanceof Error ? error.message : String(error)}`)
   }
 }
--- a/src/services/gatewayConfiguration/index.ts
+++ b/src/services/gatewayConfiguration/index.ts
@@ -1,7 +1,8 @@
 /**
- * The configuration in force on a gateway node, and how lately it was surely
- * the newest. It is read from its source at an interval and learnt from peers;
- * a version never goes back, and an outage of the source empties nothing.
+ * Holds the configuration in force on a gateway node, and when it was last
+ * confirmed to be the newest. It is read from its source at an interval and also
+ * received from peers. The version never decreases, and the configuration stays
+ * in force during an outage of the source.
  */
 import { createConfigurationHistory } from './_lib/createConfigurationHistory.js'
 import { describeSourceError } from '../../decisions/describeSourceError/index.js'
@@ -26,24 +27,24 @@
 }
 
 export type GatewayConfigurationOptions = {
-  /** Time between two reads of the source in milliseconds. */
+  /** Time between two reads of the source, in milliseconds. */
   readonly readIntervalMs: number
   /** Whether this node reads the source for its zone; the others rely on it. Every node does by default. */
   readonly isReader?: () => boolean
-  /** A node that relies on others reads for itself once its proof is older than this, in milliseconds. */
+  /** A node that relies on readers reads the source itself once its last confirmation is older than this, in milliseconds. */
   readonly relianceMs?: number
 }
 
 export type RunningGatewayConfiguration = RunningService<GatewayConfigurationHolder> & {
-  /** Takes what a peer holds: its age was measured after `askedAt`. */
+  /** Applies a peer's reply to a request that was sent at `askedAt`; the peer's age is at most `ageMs` plus the time since then. */
   readonly learn: (askedAt: ClockReading, ageMs: number, version: number, news: ConfigurationNews | undefined) => void
-  /** Names the write that the configuration in force came from; 0 before the first. */
+  /** Revision of the source's write that the configuration in force came from; 0 before the first. */
   readonly revision: () => number
-  /** What a peer with an older version needs for the one in force here. */
+  /** Returns the update that brings a peer with an older version to the version in force on this node. */
   readonly newsSince: (version: number, revision: number) => ConfigurationNews | undefined
-  /** Someone has a newer version than this one. */
+  /** Reports that a peer has the given version. */
   readonly hint: (version: number) => void
-  /** Called when the source cannot confirm, or a newer version is known elsewhere. */
+  /** Registers a listener that is called when the source cannot confirm the configuration, or a peer has a newer version. */
   readonly onNeed: (listener: () => void) => void
   /** Whether the last read of the source succeeded. */
   readonly isSourceReachable: () => boolean
@@ -51,17 +52,17 @@
 
 type Confirmation = { readonly at: ClockReading, readonly ageMs: number }
 
-/** Pause after a failed read: short, since requests with keys are refused before long. */
+/** Pause after a failed read. Short, because requests with keys are refused soon after confirmations stop. */
 const RETRY_MS = 250
-/** A read that failed so lately says that the source is away: another one follows it within that time. */
+/** The source counts as unreachable for this long after a failed read; the next scheduled read falls within this time. */
 const FAILURE_FRESH_MS = 2_500
 
 /**
- * Creates the holder.
+ * Creates the holder of the configuration in force.
  *
  * @param dependencies - Clocks, the source and the log.
  * @param options - Intervals in milliseconds.
- * @returns The service; it reads from its start to its stop.
+ * @returns The service; it reads the source from its start to its stop.
  *
  * @example
  * const holder = createGatewayConfiguration(dependencies, { readIntervalMs: 800 })
@@ -78,7 +79,7 @@
   let timer: Timer | undefined
   let isReading = false
   let isStopped = false
-  /** Undefined before the first answer, so that a source that was never reached is told as well. */
+  /** Undefined before the first response, so that a source that was never reached is logged as well. */
   let isReachable: boolean | undefined
   let hinted = 0
   let failedAt = -Infinity
@@ -89,9 +90,10 @@
     confirmation === undefined ? Infinity : confirmation.ageMs + measureAge(confirmation.at, clocks)
 
   /**
-   * Puts a newer configuration in force, then notes its proof, then tells: a
-   * listener that finds it unproved would refuse what waited for it, and a proof noted
-   * first would vouch for keys that the new one has taken away.
+   * Puts a newer configuration in force, then records its confirmation, then
+   * notifies the listeners. A listener that found it unconfirmed would refuse the
+   * requests that waited for it. A confirmation recorded first would also cover
+   * keys that the new configuration revokes.
    */
   const adopt = (next: SourcedConfiguration, from: string, noteProof: () => void): void => {
     const isNewer = next.configuration.version > version()
@@ -100,7 +102,7 @@
       sourced = next
       history.add(next)
     }
-    // Another source may have brought a version that is newer than what this one saw.
+    // Another source may already have supplied a newer version than this one.
     if (next.configuration.version === version()) noteProof()
     if (isNewer) for (const listener of listeners) listener(next.configuration)
   }
@@ -175,7 +177,7 @@
     }
     const base = history.find(news.base)
     const records = base === undefined ? undefined : patchRecords(base.records, news.change)
-    if (records === undefined) return failure({ kind: 'malformed', message: `change to revision ${news.revision} doesn't fit revision ${news.base}` })
+    if (records === undefined) return failure({ kind: 'malformed', message: `change to revision ${news.revision} does not apply to revision ${news.base}` })
     return source.decode(records, news.revision)
   }
 
@@ -187,7 +189,7 @@
       confirm: async (waitMs) => {
         const isLost = isReachable === false && clock.now() - failedAt < FAILURE_FRESH_MS
         const confirmed = isLost ? Promise.resolve() : waitForConfirmation(waitMs)
-        // While the source is away, the reads on schedule will do: each request would add one.
+        // While the source is unreachable, only the scheduled reads run; else every waiting request would add a read.
         if (!isLost) read()
         askOthers()
         await confirmed
@@ -202,7 +204,7 @@
         else logger.warn('configuration of a peer is malformed', { version: newestVersion, reason: describeSourceError(decoded.error) })
         return
       }
-      // A peer that confirmed an older version says nothing of this one.
+      // A confirmation of an older version by a peer does not apply to this one.
       if (newestVersion === version()) noteProof()
     },
     revision: () => sourced?.revision ?? 0,
--- a/src/services/gatewayConfiguration/test.ts
+++ b/src/services/gatewayConfiguration/test.ts
@@ -36,8 +36,8 @@
 }
 
 describe('a configuration that comes into force', () => {
-  // Requests that waited for the first configuration were let go before its proof was noted, and refused.
-  test('is proved when listeners hear of it', async () => {
+  // Guards against requests that wait for the first configuration and resume before its confirmation is recorded: they were refused.
+  test('is confirmed before its listeners are called', async () => {
     const { clock, holder } = createHolder(async () => success(toSourced(3)))
     const ages: number[] = []
     holder.api.onChange(() => ages.push(holder.api.confirmedAgeMs()))
@@ -46,7 +46,7 @@
     expect(ages).toEqual([0])
   })
 
-  test('is the one that waiters for a proof find', async () => {
+  test('is in force when a wait for a confirmation ends', async () => {
     let version = 3
     const { clock, holder } = createHolder(async () => success(toSourced(version)))
     holder.start?.()
@@ -58,14 +58,14 @@
   })
 })
 
-describe('what a peer tells', () => {
-  // An unreadable newer configuration proved the older one, so a key that was taken away stayed in use.
+describe('a reply of a peer', () => {
+  // Guards against a newer configuration that cannot be decoded but confirms the older one: a revoked key stayed in use.
   test.each<[string, ConfigurationNews]>([
-    ['bytes that are no packed records', { kind: 'whole', revision: 4, bytes: Buffer.from('spoilt') }],
+    ['bytes that are not packed records', { kind: 'whole', revision: 4, bytes: Buffer.from('spoilt') }],
     ['records that the source refuses', { kind: 'whole', revision: 4, bytes: packRecords({ rest: ['spoilt'] }) }],
-    ['a change to a configuration that is not held here', { kind: 'change', revision: 4, base: 2, change: { rest: [{ records: [4] }] } }],
+    ['a change to a configuration that this node does not have', { kind: 'change', revision: 4, base: 2, change: { rest: [{ records: [4] }] } }],
     ['a change that names more records than there are', { kind: 'change', revision: 4, base: 3, change: { rest: [{ from: 0, count: 2 }] } }]
-  ])('of a newer configuration as %s proves nothing', (_name, news) => {
+  ])('with a newer configuration as %s confirms nothing', (_name, news) => {
     const { holder, readClocks } = createHolder(async () => failure({ kind: 'unavailable', message: 'away' }))
     holder.learn(readClocks(), 100, 3, packVersion(3))
     expect(holder.api.confirmedAgeMs()).toBe(100)
@@ -74,7 +74,7 @@
     expect(holder.api.confirmedAgeMs()).toBe(100)
   })
 
-  test('of the same version proves it', () => {
+  test('with the same version confirms it', () => {
     const { holder, readClocks } = createHolder(async () => failure({ kind: 'unavailable', message: 'away' }))
     holder.learn(readClocks(), 100, 3, packVersion(3))
     holder.learn(readClocks(), 20, 3, undefined)
@@ -83,8 +83,8 @@
 })
 
 describe('an outage of the source', () => {
-  // Every request whose key could not be proved read the source at once: the calls of an outage grew with the requests.
-  test('meets no more reads when many requests wait for a proof', async () => {
+  // Guards against a read of the source by every request that waits for a confirmation: in an outage the calls grew with the request rate.
+  test('causes no more reads when many requests wait for a confirmation', async () => {
     const countReads = async (requestsPerSecond: number): Promise<number> => {
       let reads = 0
       const { clock, holder } = createHolder(async () => {
--- a/src/services/heartbeatExchange/index.ts
+++ b/src/services/heartbeatExchange/index.ts
@@ -1,11 +1,11 @@
 /**
- * Where services meet the heartbeat without membership knowing any of them:
- * each adds a function that gives its part for a receiver, or one that hears
- * what peers sent.
+ * Lets services add fields to heartbeats and receive those of peers, without
+ * membership depending on them. Each service registers a contributor, a listener
+ * or both.
  */
 import type { Heartbeat, HeartbeatParts, Member } from '../../types/index.js'
 
-/** Gives a service's part of the heartbeat to `receiver`. */
+/** Returns the fields that a service adds to the heartbeat for `receiver`. */
 export type HeartbeatContributor = (receiver: Member) => HeartbeatParts
 
 export type HeartbeatListener = (heartbeat: Heartbeat) => void
@@ -13,7 +13,7 @@
 export type HeartbeatExchange = {
   readonly addContributor: (contributor: HeartbeatContributor) => void
   readonly addListener: (listener: HeartbeatListener) => void
-  /** Collects the parts of all contributors; a later one wins on the same field. */
+  /** Merges the fields of all contributors; for the same field the last contributor wins. */
   readonly collect: (receiver: Member) => HeartbeatParts
   readonly deliver: (heartbeat: Heartbeat) => void
 }
--- a/src/services/knowledgeExchange/index.ts
+++ b/src/services/knowledgeExchange/index.ts
@@ -1,10 +1,11 @@
 /**
- * What gateway nodes tell each other of the configuration, the backend servers
- * and the drained zones. One node of a zone reads the source, so that its load doesn't grow
- * with the fleet; the others ask it and the next zone's by turns, and at once on
- * news from theirs. A node that can't read the source asks any peers. An age is only
- * believed from a reply to an own question, so that a message which was long on
- * its way proves nothing.
+ * Exchanges the configuration, the backend servers and the drained zones between
+ * gateway nodes. One node per zone reads the source, so that the source's load
+ * does not grow with the fleet. The others query this reader and the next zone's
+ * in turn, and query their own reader at once when it announces an update. A node
+ * that cannot read the source queries random peers. An age is only accepted in
+ * the reply to a request of this node, because a one-way message may have been
+ * delayed.
  */
 import { selectReaders } from '../../decisions/selectReaders/index.js'
 import type { Readers } from '../../decisions/selectReaders/index.js'
@@ -18,7 +19,7 @@
 import type { RunningZoneDrains } from '../zoneDrains/index.js'
 
 export type KnowledgeExchange = {
-  /** Asks some peers, whoever they are. */
+  /** Queries a few random peers. */
   readonly ask: () => void
   /** Whether this node reads the source for its zone. */
   readonly isReader: () => boolean
@@ -32,31 +33,31 @@
   readonly exchange: HeartbeatExchange
   readonly configuration: RunningGatewayConfiguration
   readonly registry: RunningInstanceRegistry
-  /** Left out where zones can't be drained. */
+  /** Omitted when the deployment has no zone drains. */
   readonly zoneDrains?: RunningZoneDrains
   readonly clocks: Clocks
 }
 
 export type KnowledgeExchangeOptions = {
-  /** Time between two questions of a node that relies on readers, in milliseconds. */
+  /** Time between two queries of a node that relies on readers, in milliseconds. */
   readonly askIntervalMs: number
 }
 
-/** Peers asked at once: one may be cut off as well, or dead and not yet known to be. */
+/** Number of peers queried at once: one of them may be cut off as well, or dead without being detected yet. */
 const PEERS_ASKED = 3
 const ASK_TIMEOUT_MS = 600
-/** Least time between two rounds of questions, however many requests want one. */
+/** Minimum time between two rounds of queries, however many requests need one. */
 const ASK_PAUSE_MS = 150
-/** News are collected for so long: a release changes several entries at once. */
+/** Updates are batched for this long, because a release changes several entries at once. */
 const NEWS_DELAY_MS = 20
 
-/** A reader's news of a version comes by then, where there is one. */
+/** Time within which the zone's reader, if there is one, has announced a new version. */
 const HINT_DELAY_MS = 100
 
 /**
  * Creates the exchange of one node.
  *
- * @param dependencies - Peers, and the holders of what is exchanged.
+ * @param dependencies - Peers, and the holders of the exchanged state.
  * @param options - Times in milliseconds.
  * @returns The service for the kernel.
  *
@@ -66,7 +67,7 @@
  */
 export const createKnowledgeExchange = (dependencies: KnowledgeExchangeDependencies, options: KnowledgeExchangeOptions): RunningService<KnowledgeExchange> => {
   const { clock, random, transport, membership, exchange, configuration, registry, zoneDrains, clocks } = dependencies
-  /** How far this node has come in the changes of each peer that it asked. */
+  /** Position up to which this node has the changes of each queried peer. */
   const positions = new Map<string, ChangePosition>()
   let askedAt = -Infinity
   let turn = 0
@@ -123,7 +124,7 @@
     if (reader !== undefined) askPeer(reader)
   }
 
-  /** The drains as of the newest revision go with each message: they are few, and a node that lacks one sends where it must not. */
+  /** Every message carries all drains: they are few, and a node that misses one would send requests to a drained zone. */
   const tellDrains = (): { readonly zoneDrains?: ZoneDrainNews } => {
     const news = zoneDrains?.news()
     return news === undefined ? {} : { zoneDrains: news }
@@ -156,9 +157,9 @@
   }
 
   /**
-   * A newer version on its way through heartbeats: who has it is asked, unless this node reads the source itself or
-   * hears of it from its reader within a moment. The member may have started lately and know no earlier version, so that
-   * its reply would be whole.
+   * Handles a newer version seen in a heartbeat. Its sender is queried, unless this node reads the source itself or gets
+   * the version from its reader within `HINT_DELAY_MS`. The delay matters because a recently started sender has no earlier
+   * version, so that its reply would be a complete configuration instead of a change.
    */
   const takeHeartbeat = (member: Member): void => {
     if (member.generation <= configuration.api.version()) return
--- a/src/services/vmList/index.ts
+++ b/src/services/vmList/index.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's list of VMs, read on a timer and shared by the services that
- * need it. The list lags, and the last good one is kept while the platform is
- * down, so it is a hint about who may exist and never proof that one is gone.
+ * Reads the platform's list of VMs on a timer and shares it between services. The
+ * list lags, and the last good one is kept while the platform is down. It is
+ * therefore a hint at which VMs may exist, and never proof that one is gone.
  */
 import type { RunningService } from '../../kernel/index.js'
 import type { Clock, Platform, RandomSource, Timer, Vm } from '../../types/index.js'
@@ -20,21 +20,21 @@
 
 export type VmListOptions = {
   readonly intervalMs: number
-  /** Whether this node reads at each interval; the others hear of what changed from its peers. */
+  /** Whether this node reads at each interval; the others get changes from their peers. */
   readonly isReader?: () => boolean
 }
 
-/** Routers that start together would otherwise read the list at the same moments. */
+/** Relative jitter of the interval; without it, routers that start together would read the list at the same time. */
 const JITTER = 0.25
 
-/** Intervals after which a node reads although others do so for it, in case that they don't. */
+/** Number of intervals after which a node that relies on readers reads the list itself, in case they do not. */
 const INTERVALS_OF_OTHERS = 12
 
 /**
  * Creates the reader of the VM list.
  *
  * @param dependencies - Clock, random source and platform.
- * @param options - Milliseconds between two reads, and who reads at each of them; everybody by default.
+ * @param options - Milliseconds between two reads, and whether this node is a reader; it is by default.
  * @returns A service that reads at its start and then on the timer, one read at a time.
  *
  * @example
