--- a/src/hashing/hashText/index.ts
+++ b/src/hashing/hashText/index.ts
@@ -1,8 +1,8 @@
 /**
- * The hash behind rendezvous ranking and sharding: xxHash, from its library.
- * It spreads keys evenly and alike on every node; it is no secret and guards
- * nothing, so keys and signatures use SHA-256 instead. In plain JavaScript, since
- * a WebAssembly module is compiled at each start, for 0.6 µs less a hash.
+ * The hash for rendezvous ranking and sharding: xxHash, which spreads keys evenly
+ * and identically on every node. It is not cryptographic; keys and signatures use
+ * SHA-256. The implementation is plain JavaScript: a WebAssembly module would save
+ * 0.6 µs per hash, but would have to be compiled at each start.
  */
 import { xxHash32 } from 'js-xxhash'
 
@@ -10,8 +10,8 @@
  * Hashes a text to 32 bits.
  *
  * @param text - Any text.
- * @param seed - Another seed gives an unrelated hash; 0 by default.
- * @returns A whole number in [0, 2^32), alike on every machine.
+ * @param seed - Different seeds give unrelated hashes; 0 by default.
+ * @returns An integer in [0, 2^32), the same on every machine.
  *
  * @example
  * hashText('chat-1') === hashText('chat-1') // => true
--- a/src/hashing/index.ts
+++ b/src/hashing/index.ts
@@ -1,2 +1,2 @@
-/** Hashes that every node computes alike. */
+/** Hash functions that give the same result on every node. */
 export * from './hashText/index.js'
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * Public entry point of the library. Everything that the daemons do can be
- * driven from here, with clock, random source, network and platform handed in;
- * examples/library hosts several nodes in one process.
+ * Public entry point of the library. It exports everything that the daemons are
+ * built from, with injected clock, random source, network and platform.
+ * examples/library runs several nodes in one process.
  */
 export * from './adapters/backendHttp/index.js'
 export * from './adapters/boundedLogger/index.js'
--- a/src/kernel/computeSha256/index.ts
+++ b/src/kernel/computeSha256/index.ts
@@ -3,7 +3,7 @@
 /**
  * Computes the SHA-256 hash of bytes or of a text's UTF-8 form.
  *
- * @param content - What to hash.
+ * @param content - The bytes or text to hash.
  * @returns The hash as 64 lower-case hexadecimal digits.
  *
  * @example
--- a/src/kernel/createDeferredCalls/index.ts
+++ b/src/kernel/createDeferredCalls/index.ts
@@ -1,31 +1,31 @@
 /**
- * Calls to something that is loaded later. A node that has just been started on
- * a small VM has work that callers wait for; what they don't wait for, such as
- * writing logs and counting, can be loaded and done after it.
+ * Buffers calls to a target that is loaded later. On a small VM, a node that has
+ * just started should first do the work that callers wait for. Other work, such as
+ * writing logs and updating metrics, can be loaded and done afterwards.
  */
 import type { Clock, Timer } from '../../types/index.js'
 
 export type DeferredCalls<Target> = {
-  /** Runs the call on the target, at once or, in the order of the calls, when it is loaded. */
+  /** Runs the call on the target: at once if it is loaded, else after loading, in the order of the calls. */
   readonly run: (call: (target: Target) => void) => void
-  /** Loads the target now, unless that was begun, and resolves when the calls held so far have run. */
+  /** Starts loading the target unless that has begun, and resolves when the buffered calls have run. */
   readonly open: () => Promise<Target>
 }
 
 export type DeferredCallsOptions<Target> = {
   readonly load: () => Promise<Target>
-  /** When the target is loaded unless it is opened before, in milliseconds from now. */
+  /** Delay in milliseconds after which the target is loaded, unless `open` is called before. */
   readonly delayMs: number
   readonly clock: Pick<Clock, 'setTimer'>
-  /** Told when the target can't be loaded; calls are dropped from then on. */
+  /** Called when the target cannot be loaded; all calls are dropped from then on. */
   readonly onFailure: (error: unknown) => void
 }
 
 /**
- * Creates the calls; none is lost unless the process ends before the target is loaded.
+ * Creates deferred calls. No call is lost unless loading fails or the process ends before the target is loaded.
  *
  * @param options - How and when to load the target.
- * @returns The calls.
+ * @returns The deferred calls.
  *
  * @example
  * const calls = createDeferredCalls({ load: async () => console, delayMs: 500, clock, onFailure: console.error })
@@ -59,7 +59,7 @@
     return opening
   }
 
-  // A failure was told to `onFailure`.
+  // `onFailure` has already received the error.
   const timer: Timer = clock.setTimer(delayMs, () => { open().catch(() => {}) })
 
   return {
--- a/src/kernel/createDeferredCalls/test.ts
+++ b/src/kernel/createDeferredCalls/test.ts
@@ -22,7 +22,7 @@
 }
 
 describe('createDeferredCalls', () => {
-  test('loads nothing and runs nothing before its time', async () => {
+  test('loads nothing and runs nothing before the delay', async () => {
     const { clock, target, calls, countLoads } = createCalls()
     calls.run((lines) => lines.push('first'))
     await clock.advanceAndSettle(DELAY_MS - 1)
@@ -30,7 +30,7 @@
     expect(target).toEqual([])
   })
 
-  test('runs what was held in order, and later calls at once', async () => {
+  test('runs buffered calls in order, and later calls at once', async () => {
     const { clock, target, calls } = createCalls()
     calls.run((lines) => lines.push('first'))
     calls.run((lines) => lines.push('second'))
@@ -40,7 +40,7 @@
     expect(target).toEqual(['first', 'second', 'third'])
   })
 
-  test('is opened before its time, once', async () => {
+  test('loads the target once when opened before the delay', async () => {
     const { clock, target, calls, countLoads } = createCalls()
     calls.run((lines) => lines.push('first'))
     await Promise.all([calls.open(), calls.open()])
@@ -49,7 +49,7 @@
     expect(countLoads()).toBe(1)
   })
 
-  test('tells of a target that can\'t be loaded, and holds nothing more', async () => {
+  test('reports a target that cannot be loaded, and buffers nothing more', async () => {
     const { clock, failures, calls } = createCalls(() => Promise.reject(new Error('missing')))
     calls.run(() => {})
     await clock.advanceAndSettle(DELAY_MS)
--- a/src/kernel/createKernel/index.ts
+++ b/src/kernel/createKernel/index.ts
@@ -1,9 +1,10 @@
 /**
  * The micro-kernel: a registry in which services find each other by name, and
- * the order in which they start and stop. It knows nothing of what they do.
+ * which starts and stops them in the order of their dependencies. It has no
+ * knowledge of what the services do.
  */
 
-/** What the kernel runs for a service: the part others see, and its life cycle. */
+/** A service as the kernel runs it: its public interface and its life cycle. */
 export type RunningService<Api> = {
   readonly api: Api
   readonly start?: () => void | Promise<void>
@@ -19,11 +20,11 @@
 
 export type Kernel<Services> = {
   readonly register: <Name extends keyof Services>(definition: ServiceDefinition<Services, Name>) => void
-  /** Finds a service by its name. Throws when it was not created: a broken invariant of the assembly. */
+  /** Returns a service by its name. Throws if it has not been created, which is an error in the assembly. */
   readonly resolve: <Name extends keyof Services>(name: Name) => Services[Name]
   readonly isRunning: (name: keyof Services) => boolean
   readonly start: () => Promise<void>
-  /** Stops what was started, in reverse order. A second call waits for the first. */
+  /** Stops the started services in reverse order. A second call waits for the first. */
   readonly stop: () => Promise<void>
 }
 
@@ -36,10 +37,10 @@
 /**
  * Creates an empty kernel.
  *
- * Definitions are registered in any order; `start` creates and starts them in
- * the order of their dependencies, and `stop` runs that order backwards. When
+ * Definitions can be registered in any order. `start` creates and starts services
+ * in the order of their dependencies, and `stop` stops them in reverse order. If
  * one fails to start, those already running are stopped and the error is
- * thrown on.
+ * rethrown.
  *
  * @returns A kernel for the services that `Services` maps by name.
  *
--- a/src/kernel/createKernel/test.ts
+++ b/src/kernel/createKernel/test.ts
@@ -47,7 +47,7 @@
     expect(() => define('a', [])).toThrow(/twice/)
   })
 
-  it('rejects a dependency that nobody registered', async () => {
+  it('rejects a dependency that is not registered', async () => {
     const { kernel, define } = createRecordedKernel()
     define('a', ['b'])
     await expect(kernel.start()).rejects.toThrow(/not registered/)
--- a/src/kernel/formatIsoTime/index.ts
+++ b/src/kernel/formatIsoTime/index.ts
@@ -1,5 +1,5 @@
 /**
- * Writes a wall-clock time as ISO 8601 in UTC.
+ * Formats a wall-clock time as ISO 8601 in UTC.
  *
  * @param time - Milliseconds since 1970-01-01 UTC.
  * @returns The time with millisecond precision and the offset `Z`.
--- a/src/kernel/groupBy/index.ts
+++ b/src/kernel/groupBy/index.ts
@@ -1,10 +1,10 @@
 /**
- * Sorts values into groups, keeping their order within each. Node 20 lacks
+ * Groups values by key, keeping their order within each group. Node.js 20 has no
  * `Map.groupBy`.
  *
  * @param values - The values.
- * @param toKey - Gives the key of a value's group.
- * @returns The groups by key, in the order in which their first values stand.
+ * @param toKey - Returns the key of a value's group.
+ * @returns The groups by key, in the order of their first values.
  *
  * @example
  * groupBy([1, 2, 3], (value) => value % 2) // => Map { 1 => [1, 3], 0 => [2] }
--- a/src/kernel/index.ts
+++ b/src/kernel/index.ts
@@ -1,4 +1,4 @@
-/** The kernel and the small helpers that every layer uses. */
+/** The kernel, and small helpers used by every layer. */
 export * from './computeSha256/index.js'
 export * from './createDeferredCalls/index.js'
 export * from './createKernel/index.js'
--- a/src/kernel/mapInBatches/index.ts
+++ b/src/kernel/mapInBatches/index.ts
@@ -1,9 +1,9 @@
 /**
- * Maps items by an asynchronous function, a few at a time.
+ * Maps items with an asynchronous function, one batch at a time.
  *
- * @param items - What to map.
- * @param batchSize - How many calls run at once.
- * @param map - The function; a rejection ends the whole mapping.
+ * @param items - The items to map.
+ * @param batchSize - Number of calls that run at once.
+ * @param map - The function; a rejection rejects the returned promise.
  * @returns The values in the order of the items.
  *
  * @example
--- a/src/kernel/success/index.ts
+++ b/src/kernel/success/index.ts
@@ -3,7 +3,7 @@
 /**
  * Wraps a value as the success of an operation.
  *
- * @param value - What the operation gives.
+ * @param value - The result of the operation.
  * @returns A `Result` that holds the value.
  *
  * @example
--- a/src/node/createGatewayNode/_lib/deadAfterMs.ts
+++ b/src/node/createGatewayNode/_lib/deadAfterMs.ts
@@ -1,2 +1,2 @@
-/** Milliseconds of silence after which a node is held dead, and what it told of its load is forgotten. */
+/** Milliseconds without a heartbeat after which a node counts as dead and its reported load is dropped. */
 export const DEAD_AFTER_MS = 3_000
--- a/src/node/createGatewayNode/_lib/noteStart.ts
+++ b/src/node/createGatewayNode/_lib/noteStart.ts
@@ -1,4 +1,4 @@
-/** Notes when the node came to know what it needs to serve. */
+/** Marks on the start timeline when the node has the state that it needs to serve. */
 import type { StartTimeline } from '../../../types/index.js'
 import type { GatewayNode } from '../index.js'
 
--- a/src/node/createGatewayNode/_lib/registerForwarding.ts
+++ b/src/node/createGatewayNode/_lib/registerForwarding.ts
@@ -1,4 +1,4 @@
-/** The way of requests: the backend servers' health, where prompts are kept, and forwarding itself. */
+/** Registers the request path: health of the backend servers, cached prefix locations, warm-up limits and forwarding. */
 import { formatInstanceKey } from '../../../decisions/formatInstanceKey/index.js'
 import { createForwarding, type ForwardingBounds } from '../../../services/forwarding/index.js'
 import { createInstanceHealth } from '../../../services/instanceHealth/index.js'
@@ -8,10 +8,10 @@
 import type { Kernel } from '../../../kernel/index.js'
 import type { GatewayNodeDependencies, GatewayServices } from '../index.js'
 
-/** Taken off the time in which a key taken away must go out of use: for clocks that run unequally and a send that is on its way. */
+/** Safety margin within the time limit for key revocation: covers clock drift and a request that is already being sent. */
 const KEY_MARGIN_MS = 500
 
-/** Where the settings give no bound, a warming server gets its stated rate. */
+/** Without a limit in the settings, a server that is warming up gets its stated rate. */
 const DEFAULT_WARM_UP_LIMIT = { excess: 1, slack: 0 }
 
 const toBounds = (settings: GatewaySettings): ForwardingBounds => ({
@@ -21,7 +21,7 @@
   configurationFreshnessMs: settings.configurationDelayMs
 })
 
-/** How to learn after a start what engines keep: which services have engines stands in the configuration, which engines there are in the list. */
+/** Sources for recovering the cached prefix locations after a start: the configuration says which services run model engines, the registry lists the engines. */
 const createPlacesRecoverySources = ({ settings, random, logger, engineMemory }: GatewayNodeDependencies, resolve: Kernel<GatewayServices>['resolve']): PlacesRecoverySources => {
   const configuration = resolve('gatewayConfiguration')
   const registry = resolve('instanceRegistry')
@@ -41,7 +41,7 @@
   }
 }
 
-/** Registers what a request needs on its way. */
+/** Registers the services of the request path. */
 export const registerForwarding = (kernel: Kernel<GatewayServices>, dependencies: GatewayNodeDependencies): void => {
   const readSettings = dependencies.readSettings ?? (() => dependencies.settings)
   const { settings, clock, random, transport, client, logger, metrics } = dependencies
--- a/src/node/createGatewayNode/_lib/registerGauges.ts
+++ b/src/node/createGatewayNode/_lib/registerGauges.ts
@@ -1,4 +1,4 @@
-/** What operators see of a gateway node's beliefs and open work. */
+/** Gauges of a gateway node's view of the fleet and of its open requests. */
 import type { BackendInstance, GaugeReading, Metrics } from '../../../types/index.js'
 import type { GatewayNode } from '../index.js'
 
@@ -17,7 +17,7 @@
 
 type Resolve = GatewayNode['resolve']
 
-/** The first state that holds names a server's; it gets work in the last two only. */
+/** Returns the first state that applies to a server. Only servers in the last two states get requests. */
 const createStateReader = (resolve: Resolve): (instance: BackendInstance) => string => {
   const [health, zoneDrains, warmUp] = [resolve('instanceHealth'), resolve('zoneDrains'), resolve('warmUp')]
   return (instance) => {
@@ -41,7 +41,7 @@
   return Number.isFinite(ageMs) ? ageMs / MILLISECONDS_PER_SECOND : UNKNOWN_AGE
 }
 
-/** Registers the gauges; each is read when the metrics are asked for. */
+/** Registers the gauges; each is read on every scrape. */
 export const registerGauges = (metrics: Metrics, resolve: Resolve): void => {
   metrics.readGauge('gateway_requests_open', () => [{ value: resolve('forwarding').openRequests() }])
   metrics.readGauge('configuration_version', () => [{ value: resolve('gatewayConfiguration').version() }])
--- a/src/node/createGatewayNode/_lib/registerKnowledge.ts
+++ b/src/node/createGatewayNode/_lib/registerKnowledge.ts
@@ -1,4 +1,4 @@
-/** What the node knows from its sources: the configuration and the backend servers, read by few and passed on. */
+/** Registers the state read from sources: configuration, backend servers and zone drains, read by a few nodes and forwarded to the others. */
 import { createGatewayConfiguration, type RunningGatewayConfiguration } from '../../../services/gatewayConfiguration/index.js'
 import { createInstanceRegistry, type RunningInstanceRegistry } from '../../../services/instanceRegistry/index.js'
 import { createKnowledgeExchange } from '../../../services/knowledgeExchange/index.js'
@@ -8,31 +8,31 @@
 import type { GatewayNodeDependencies, GatewayServices } from '../index.js'
 
 /**
- * Time between two reads of the configuration: half of the two seconds in which
- * a new one has to be in force, less a slow read.
+ * Time between two reads of the configuration: half of the two seconds within which
+ * a new one must be in force, less the time of a slow read.
  */
 const CONFIGURATION_READ_MS = 800
-/** One watch's wait: a connection that went silent is found that much later, well before a leaving server's bound. */
+/** Time-out of a watch. A connection that stopped responding is detected within it, well before the time bound of a leaving server. */
 const WATCH_WAIT_MS = 2_500
-/** Time between two questions of a node to its readers, by turns: both are heard within 1.1 s. */
+/** Time between two queries of a node to its two readers in turn; each is queried every 1.1 s. */
 const READER_ASK_MS = 550
 /**
- * How long a node trusts its readers without proof: a read every 0.8 s and a
- * question every 0.55 s leave it 1.4 s old at most, and past two seconds it could
- * not say any more that a route does not exist.
+ * How long a node relies on its readers without a new confirmation. A read every
+ * 0.8 s and a query every 0.55 s keep its age within 1.4 s. At an age above two
+ * seconds the node could no longer answer that a route does not exist.
  */
 const RELIANCE_MS = 1_500
 
-/** For deployments whose zones are never drained. */
+/** Used in deployments without zone drains. */
 const NO_ZONE_DRAINS: ZoneDrains = { isDrained: () => false, endedAgoMs: () => Infinity, revision: () => 0, isKnown: () => true, onChange: () => { /* nothing changes */ } }
 
-/** Registers the holders of configuration, backend servers and zone drains, and their exchange with peers. */
+/** Registers the services for configuration, backend servers and zone drains, and their exchange with peers. */
 export const registerKnowledge = (kernel: Kernel<GatewayServices>, dependencies: GatewayNodeDependencies): void => {
   const { clock, random, clocks, transport, configurationSource, instanceSource, zoneDrainSource, settings, logger } = dependencies
   let configuration: RunningGatewayConfiguration | undefined
   let registry: RunningInstanceRegistry | undefined
   let zoneDrains: RunningZoneDrains | undefined
-  // Before peers are known a node is the first of its zone, as far as it knows.
+  // Until it knows peers, a node must act as the reader of its zone.
   const isReader = (): boolean => !kernel.isRunning('knowledgeExchange') || kernel.resolve('knowledgeExchange').isReader()
   kernel.register({
     name: 'gatewayConfiguration',
@@ -64,7 +64,7 @@
     name: 'knowledgeExchange',
     dependsOn: ['membership', 'heartbeatExchange', 'gatewayConfiguration', 'instanceRegistry', 'zoneDrains'],
     create: (resolve) => {
-      if (configuration === undefined || registry === undefined) throw new Error('knowledge is exchanged before its holders were made')
+      if (configuration === undefined || registry === undefined) throw new Error('knowledgeExchange was created before gatewayConfiguration or instanceRegistry')
       return createKnowledgeExchange({ clock, random, transport, membership: resolve('membership'), exchange: resolve('heartbeatExchange'), configuration, registry, ...(zoneDrains === undefined ? {} : { zoneDrains }), clocks }, { askIntervalMs: READER_ASK_MS })
     }
   })
--- a/src/node/createGatewayNode/_lib/registerLoad.ts
+++ b/src/node/createGatewayNode/_lib/registerLoad.ts
@@ -1,4 +1,4 @@
-/** How loaded each backend server is, from the own requests and those of all peers. */
+/** Registers the load estimates of the backend servers, from this node's own requests and those of all peers. */
 import { formatInstanceKey } from '../../../decisions/formatInstanceKey/index.js'
 import { createFleetLoad, type NamedServer } from '../../../services/fleetLoad/index.js'
 import { createLoadView, type RunningLoadView } from '../../../services/loadView/index.js'
@@ -10,16 +10,16 @@
 
 const LOAD_REPORT_MS = 250
 /**
- * Time between two sums of load in a large fleet. At 69 nodes a request lasts about
- * a second and the bound is twice the mean: sums half as often halve the
- * messages of a node that has little else to do.
+ * Time between two load snapshots in a large fleet. At 69 nodes a request takes about
+ * a second and the load bound is twice the mean, so that snapshots at half the rate
+ * suffice and halve the messages of a node that has little else to do.
  */
 const LOAD_SUM_MS = 400
 
 const nameInstances = (instances: readonly BackendInstance[]): readonly NamedServer[] =>
   instances.map((instance) => ({ name: formatInstanceKey(instance), availabilityZone: instance.availabilityZone }))
 
-/** How load travels: digests to all peers while they are few, sums by zone when they are many. */
+/** Registers the load services: small fleets send digests to all peers, large fleets send snapshots summed by zone. */
 export const registerLoad = (kernel: Kernel<GatewayServices>, { settings, clock, transport }: GatewayNodeDependencies): void => {
   let loadView: RunningLoadView | undefined
   kernel.register({
--- a/src/node/createGatewayNode/_lib/registerPeers.ts
+++ b/src/node/createGatewayNode/_lib/registerPeers.ts
@@ -1,4 +1,4 @@
-/** Who the other nodes are: heartbeats among them, begun at the seeds of the settings. */
+/** Registers membership: heartbeats between the gateway nodes, bootstrapped from the seed peers of the settings. */
 import type { HeartbeatFanOut } from '../../../decisions/selectHeartbeatTargets/index.js'
 import { createHeartbeatExchange } from '../../../services/heartbeatExchange/index.js'
 import { createMembership, DEFAULT_FAN_OUT } from '../../../services/membership/index.js'
@@ -8,13 +8,13 @@
 import { DEAD_AFTER_MS } from './deadAfterMs.js'
 
 const HEARTBEAT_MS = 500
-/** Rumours cross between zones through the fixed watchers; a random peer there would cost a third of the packets. */
+/** Gossip crosses zones through the fixed watchers; a random remote peer would account for a third of the packets. */
 const FAN_OUT: HeartbeatFanOut = { ...DEFAULT_FAN_OUT, randomRemotePeers: 0 }
 const SUSPECT_AFTER_MS = 1_500
-/** The seeds of the settings bring nodes together; no list of VMs is read. */
-const NO_VM_LIST: VmList = { current: () => undefined, onRead: () => { /* it is never read */ } }
+/** Gateway nodes find each other through the seed peers; they read no VM list. */
+const NO_VM_LIST: VmList = { current: () => undefined, onRead: () => { /* never called: the list is not read */ } }
 
-/** Registers membership and what it needs. */
+/** Registers membership and its dependencies. */
 export const registerPeers = (kernel: Kernel<GatewayServices>, dependencies: GatewayNodeDependencies): void => {
   const { settings, clock, random, transport, logger } = dependencies
   const readSettings = dependencies.readSettings ?? (() => settings)
--- a/src/node/createGatewayNode/index.ts
+++ b/src/node/createGatewayNode/index.ts
@@ -1,6 +1,6 @@
 /**
- * A gateway node: the services that forward whole HTTP requests by host and
- * path, assembled in the kernel. All I/O is handed in, as for a router node.
+ * A gateway node: the services that forward complete HTTP requests by host and
+ * path, assembled in the kernel. All I/O is injected, as for a router node.
  */
 import { noteStart } from './_lib/noteStart.js'
 import { registerForwarding } from './_lib/registerForwarding.js'
@@ -24,7 +24,7 @@
 
 export type GatewayNodeDependencies = {
   readonly settings: GatewaySettings
-  /** The settings in force now; those at the start by default. */
+  /** Reads the settings in force now; by default those of the start. */
   readonly readSettings?: () => GatewaySettings
   readonly clock: Clock
   readonly random: RandomSource
@@ -32,7 +32,7 @@
   readonly transport: PeerTransport
   readonly configurationSource: ConfigurationSource
   readonly instanceSource: InstanceSource
-  /** Left out where operators never drain zones. */
+  /** Omitted when the deployment has no zone drains. */
   readonly zoneDrainSource?: ZoneDrainSource
   readonly client: InstanceClient
   readonly engineMemory: EngineMemorySource
@@ -61,7 +61,7 @@
   readonly start: () => Promise<void>
   readonly stop: () => Promise<void>
   readonly resolve: Kernel<GatewayServices>['resolve']
-  /** Whether it can serve: it has a configuration, a list of backend servers and the zone drains. */
+  /** Whether the node can serve: it has a configuration, the list of backend servers and the zone drains. */
   readonly isAbleToServe: () => boolean
 }
 
--- a/src/node/createRouterNode/_lib/countSlotsForNode.ts
+++ b/src/node/createRouterNode/_lib/countSlotsForNode.ts
@@ -2,10 +2,10 @@
 import type { LoadView } from '../../../types/index.js'
 
 /**
- * Counts the slots of a service that this node may have in use: those of all
- * usable servers, less what other nodes have in flight there. Without any
- * usable server there is no bound, so that a request goes on to placement and
- * is refused at once instead of waiting for its deadline.
+ * Counts the slots of a service that this node may use: the slots of all usable
+ * servers, less the requests that other nodes have in flight there. Without any
+ * usable server the number is unlimited, so that a request reaches placement and
+ * is refused at once instead of waiting until its deadline.
  */
 export const countSlotsForNode = (service: string, dependencies: PlacementDependencies & { readonly loadView: Pick<LoadView, 'ownInFlight'> }): number => {
   const servers = listPlacedServers(service, dependencies)
--- a/src/node/createRouterNode/_lib/createUsageContributor.ts
+++ b/src/node/createRouterNode/_lib/createUsageContributor.ts
@@ -1,10 +1,10 @@
 import type { HeartbeatContributor } from '../../../services/heartbeatExchange/index.js'
 import type { Admission, Clock } from '../../../types/index.js'
 
-/** Work decays over seconds, so that it need not travel with every heartbeat. */
+/** Usage decays over seconds, so it does not need to be part of every heartbeat. */
 const USAGE_INTERVAL_MS = 2_000
 
-/** Adds the accounts that use the most to the heartbeats, to each receiver at most every two seconds. */
+/** Adds the accounts with the highest usage to heartbeats, at most every two seconds per receiver. */
 export const createUsageContributor = (clock: Clock, admission: Pick<Admission, 'usage'>): HeartbeatContributor => {
   const sentAt = new Map<string, number>()
   return (receiver) => {
--- a/src/node/createRouterNode/_lib/registerConfiguration.ts
+++ b/src/node/createRouterNode/_lib/registerConfiguration.ts
@@ -1,4 +1,4 @@
-/** The configuration in force, from the platform and from peers. */
+/** Registers the configuration in force, which comes from the platform and from peers. */
 import { createHash } from 'node:crypto'
 import type { Kernel } from '../../../kernel/index.js'
 import { createConfiguration } from '../../../services/configuration/index.js'
--- a/src/node/createRouterNode/_lib/registerGauges.ts
+++ b/src/node/createRouterNode/_lib/registerGauges.ts
@@ -33,13 +33,13 @@
   })
 }
 
-/** Accepted requests that stand in no outcome and are not open: lost ones. */
+/** Counts accepted requests that have no outcome and are not open, that is, lost ones. */
 const countUnaccounted = (dispatch: Dispatch): number => {
   const { accepted, complete, refused, unknown, open } = dispatch.ledger()
   return accepted - complete - refused - unknown - open
 }
 
-/** Lets the gauges be read from the state of the services. */
+/** Registers the gauges, which read the state of the services. */
 export const registerGauges = (metrics: Metrics, sources: GaugeSources): void => {
   const { membership, configuration, backendHealth, dispatch } = sources
   const readState = (state: BackendServerState): readonly GaugeReading[] => readEach(backendHealth.statuses(), (status) => status.state === state ? 1 : 0)
--- a/src/node/createRouterNode/_lib/registerLoad.ts
+++ b/src/node/createRouterNode/_lib/registerLoad.ts
@@ -1,4 +1,4 @@
-/** How loaded and how sound each backend server is, and the choice among them. */
+/** Registers the load and health of the backend servers, and the placement of requests on them. */
 import type { Kernel } from '../../../kernel/index.js'
 import { createBackendHealth, type RunningBackendHealth } from '../../../services/backendHealth/index.js'
 import { createFleetLoad } from '../../../services/fleetLoad/index.js'
--- a/src/node/createRouterNode/_lib/registerPeers.ts
+++ b/src/node/createRouterNode/_lib/registerPeers.ts
@@ -1,4 +1,4 @@
-/** Who the other routers are, and which of them keeps where a chat was served. */
+/** Registers membership of the routers, and the chat directory that is distributed over them. */
 import { isZoneWatcher } from '../../../decisions/isZoneWatcher/index.js'
 import type { Kernel } from '../../../kernel/index.js'
 import { createChatDirectory } from '../../../services/chatDirectory/index.js'
@@ -10,11 +10,11 @@
 const VM_LIST_INTERVAL_MS = 5_000
 const VM_LIST_READERS_PER_ZONE = 2
 
-/** Registers membership, what it needs, and the chat directory. */
+/** Registers membership with its dependencies, and the chat directory. */
 export const registerPeers = (kernel: Kernel<RouterServices>, dependencies: RouterNodeDependencies): void => {
   const { settings, clock, random, platform, transport, peerAddress, logger, metrics } = dependencies
   kernel.register({ name: 'heartbeatExchange', dependsOn: [], create: () => ({ api: createHeartbeatExchange() }) })
-  // A few readers a zone: the list's reads would otherwise grow with the fleet.
+  // Only a few nodes per zone read the list, so that the reads do not grow with the fleet.
   const readsVmList = (): boolean => isZoneWatcher(settings, kernel.resolve('membership').members(), VM_LIST_READERS_PER_ZONE)
   kernel.register({ name: 'vmList', dependsOn: [], create: () => createVmList({ clock, random, platform }, { intervalMs: VM_LIST_INTERVAL_MS, isReader: readsVmList }) })
   kernel.register({
--- a/src/node/createRouterNode/_lib/registerRequests.ts
+++ b/src/node/createRouterNode/_lib/registerRequests.ts
@@ -1,4 +1,4 @@
-/** The way of a request: admission, claims of idempotency keys, and dispatch. */
+/** Registers the request path: admission, claims of idempotency keys, and dispatch. */
 import { countSlotsForNode } from './countSlotsForNode.js'
 import { createUsageContributor } from './createUsageContributor.js'
 import type { Kernel } from '../../../kernel/index.js'
@@ -76,7 +76,7 @@
   })
 }
 
-/** Registers what a request needs on its way. */
+/** Registers the services of the request path. */
 export const registerRequests = (kernel: Kernel<RouterServices>, dependencies: RouterNodeDependencies): void => {
   registerAdmission(kernel, dependencies)
   registerClaims(kernel, dependencies)
--- a/src/node/createRouterNode/index.ts
+++ b/src/node/createRouterNode/index.ts
@@ -1,7 +1,7 @@
 /**
- * A router node: all services, assembled in the kernel. Everything from
- * outside is handed in, so that the daemon, a test with a manual clock, or
- * another harness with many nodes in one process drive the same code.
+ * A router node: all services, assembled in the kernel. External dependencies
+ * are injected, so that the daemon, a test with a manual clock, and a harness
+ * with many nodes in one process run the same code.
  */
 import { registerConfiguration } from './_lib/registerConfiguration.js'
 import { registerGauges } from './_lib/registerGauges.js'
@@ -23,14 +23,14 @@
   readonly random: RandomSource
   readonly platform: Platform
   readonly transport: PeerTransport
-  /** What peers dial. */
+  /** Address to which peers connect. */
   readonly peerAddress: () => PeerAddress
   readonly backendClient: BackendClient
   readonly logger: Logger
   readonly metrics: Metrics
 }
 
-/** The services of a node, with those that only other services use. */
+/** The services of a router node, including internal ones. */
 export type RouterServices = NodeServices & {
   readonly heartbeatExchange: HeartbeatExchange
   readonly vmList: VmList
@@ -39,11 +39,11 @@
 
 export type RouterNode = {
   readonly start: () => Promise<void>
-  /** Stops the services; requests in flight should have ended before. */
+  /** Stops the services. Requests in flight should have finished before. */
   readonly stop: () => Promise<void>
-  /** Finds a service by its name, once the node was started. */
+  /** Returns a service by its name, once the node has started. */
   readonly resolve: Kernel<RouterServices>['resolve']
-  /** Fails the readiness and tells peers; the node goes on serving. */
+  /** Fails the readiness check and notifies peers; the node continues to serve. */
   readonly beginLeaving: () => void
   readonly status: () => NodeStatus
 }
--- a/src/settings/parseRouterSettings/index.ts
+++ b/src/settings/parseRouterSettings/index.ts
@@ -9,7 +9,7 @@
   readonly message: string
 }
 
-/** Texts of settings by name, as flags or a file gave them. */
+/** Unparsed setting values by name, from flags or a file. */
 export type SettingTexts = Readonly<Partial<Record<string, string>>>
 
 const ENVIRONMENT_PREFIX = 'DOTTERELSPOKE_'
@@ -17,7 +17,7 @@
 const splitWords = (name: string): readonly string[] => name.replace(/([A-Z])/g, ' $1').toLowerCase().split(' ')
 
 /**
- * Gives the command-line flag of a setting.
+ * Returns the command-line flag of a setting.
  *
  * @param name - Name of the setting in camelCase.
  * @returns The flag in kebab-case.
@@ -28,7 +28,7 @@
 export const formatFlag = (name: string): string => `--${splitWords(name).join('-')}`
 
 /**
- * Gives the environment variable of a setting.
+ * Returns the environment variable of a setting.
  *
  * @param name - Name of the setting in camelCase.
  * @returns The variable's name.
@@ -51,7 +51,7 @@
     .map((variable) => ({ flag: '', environmentVariable: variable, message: 'is not a setting' }))
 }
 
-/** Variables that the operator commands read, and that may stand in the same environment. */
+/** Variables that the operator commands read and that may be set in the same environment. */
 const toolVariables: ReadonlySet<string> = new Set(['DOTTERELSPOKE_OPERATOR', 'DOTTERELSPOKE_ROUTER_URLS', 'DOTTERELSPOKE_ACCOUNT_KEYS'])
 
 const findCrossProblems = (settings: RouterSettings): readonly SettingProblem[] => {
@@ -61,13 +61,13 @@
 }
 
 /**
- * Checks the settings of a router and gives them their types.
+ * Validates and parses the settings of a router.
  *
- * A flag goes before its environment variable, and that before the default.
- * Every problem is reported, not just the first, with the flag and the
- * environment variable that set it.
+ * A flag overrides its environment variable, which overrides the default. All
+ * problems are reported, not just the first, each with the flag and the
+ * environment variable of the setting.
  *
- * @param flags - Texts of the settings given as flags, by setting name.
+ * @param flags - Values of the settings given as flags, by setting name.
  * @param environment - The environment variables of the process.
  * @returns The settings, or all problems.
  *
--- a/src/settings/parseRouterSettings/test.ts
+++ b/src/settings/parseRouterSettings/test.ts
@@ -16,12 +16,12 @@
     expect(result.ok && result.value.retryShare).toBe(0.1)
   })
 
-  it('takes a flag before an environment variable', () => {
+  it('prefers a flag over an environment variable', () => {
     const result = parseRouterSettings(createFlags({ callerPort: '1' }), { DOTTERELSPOKE_CALLER_PORT: '2' })
     expect(result.ok && result.value.callerPort).toBe(1)
   })
 
-  it('takes an environment variable before the default', () => {
+  it('prefers an environment variable over the default', () => {
     const result = parseRouterSettings(createFlags(), { DOTTERELSPOKE_CALLER_PORT: '2' })
     expect(result.ok && result.value.callerPort).toBe(2)
   })
@@ -32,12 +32,12 @@
     expect(flags).toEqual(['--node-id', '--availability-zone', '--caller-port', '--platform-url', '--fleet-key-file', '--operator-token-file', '--heartbeat-interval-ms'])
   })
 
-  it('rejects an environment variable that is no setting', () => {
+  it('rejects an environment variable that is not a setting', () => {
     const result = parseRouterSettings(createFlags(), { DOTTERELSPOKE_COLOUR: 'red' })
     expect(result).toEqual({ ok: false, error: [{ flag: '', environmentVariable: 'DOTTERELSPOKE_COLOUR', message: 'is not a setting' }] })
   })
 
-  it.each(['OPERATOR', 'ROUTER_URLS', 'ACCOUNT_KEYS'])('leaves DOTTERELSPOKE_%s to the commands that read it', (name) => {
+  it.each(['OPERATOR', 'ROUTER_URLS', 'ACCOUNT_KEYS'])('ignores DOTTERELSPOKE_%s, which operator commands read', (name) => {
     expect(parseRouterSettings(createFlags(), { [`DOTTERELSPOKE_${name}`]: 'any' }).ok).toBe(true)
   })
 
@@ -45,7 +45,7 @@
     expect(parseRouterSettings(createFlags({ callerPort }), {}).ok).toBe(false)
   })
 
-  it('rejects a time of death that is not after the suspicion', () => {
+  it('rejects deadAfterMs unless it is greater than suspectAfterMs', () => {
     expect(parseRouterSettings(createFlags({ suspectAfterMs: '2000', deadAfterMs: '2000' }), {}).ok).toBe(false)
   })
 
@@ -58,7 +58,7 @@
     expect(parseRouterSettings(createFlags({ seedPeers: 'host' }), {}).ok).toBe(false)
   })
 
-  it('names flags and variables after the setting', () => {
+  it('derives flag and variable names from the setting name', () => {
     expect([formatFlag('nodeId'), formatEnvironmentVariable('nodeId')]).toEqual(['--node-id', 'DOTTERELSPOKE_NODE_ID'])
   })
 })
--- a/src/settings/renderSettingsPage/index.ts
+++ b/src/settings/renderSettingsPage/index.ts
@@ -17,7 +17,7 @@
 /**
  * Renders docs/SETTINGS.md from the table of settings.
  *
- * @returns The whole page as Markdown.
+ * @returns The complete page as Markdown.
  *
  * @example
  * renderSettingsPage().startsWith('# Settings') // => true
--- a/src/settings/renderSettingsPage/test.ts
+++ b/src/settings/renderSettingsPage/test.ts
@@ -3,7 +3,7 @@
 import { renderSettingsPage } from './index.js'
 
 describe('renderSettingsPage', () => {
-  it('gives the page that stands in docs', () => {
+  it('matches docs/SETTINGS.md', () => {
     expect(readFileSync('docs/SETTINGS.md', 'utf8')).toBe(renderSettingsPage())
   })
 })
--- a/src/settings/routerSettingDefinitions/index.ts
+++ b/src/settings/routerSettingDefinitions/index.ts
@@ -1,7 +1,7 @@
 /**
- * Every setting of the router in one table: the schema that checks it, its
- * default, its unit and what it is for. Flags, environment variables, the
- * `--help` text and docs/SETTINGS.md all come from here.
+ * Table of all router settings: schema, default, unit and description of each.
+ * Flags, environment variables, the `--help` text and docs/SETTINGS.md are
+ * generated from this table.
  */
 import { z } from 'zod'
 import type { PeerAddress, RouterSettings } from '../../types/index.js'
@@ -9,12 +9,12 @@
 export type SettingDefinition = {
   readonly name: keyof RouterSettings
   readonly schema: z.ZodType
-  /** As it would be written on the command line; absent when the setting must be given. */
+  /** Default as it would be written on the command line; omitted for required settings. */
   readonly defaultText?: string
   readonly unit: string
   readonly range: string
   readonly description: string
-  /** A secret is taken from the environment or a file, never from a flag, and is never printed. */
+  /** A secret is read from the environment or a file, never from a flag, and is never printed. */
   readonly secret?: boolean
 }
 
