--- a/src/decisions/_lib/trimTimes.ts
+++ b/src/decisions/_lib/trimTimes.ts
@@ -1,4 +1,4 @@
-/** Drops the times before a window; the times are in order. */
+/** Drops the times before the start of a window. The times are in ascending order. */
 export const trimTimes = (times: readonly number[], from: number): readonly number[] => {
   const first = times.findIndex((time) => time >= from)
   if (first === 0) return times
--- a/src/decisions/advanceAttempt/index.ts
+++ b/src/decisions/advanceAttempt/index.ts
@@ -1,37 +1,38 @@
 /**
- * The life of one attempt at a backend server. Whether a request may be sent
- * again, and what its refusal may claim, rests on these states alone, so an
- * attempt moves only along the table below and a final state is never left.
+ * State machine of one attempt at a backend server. Whether a request may be
+ * retried, and whether its refusal may state that it did not run, depends on
+ * these states alone. An attempt therefore follows only the transitions of the
+ * table below, and a final state is never left.
  */
 
 export type AttemptState =
-  /** No byte was written yet. */
+  /** No byte has been written yet. */
   | { readonly stage: 'notSent' }
   /** At least one byte may have been written; no answer yet. */
   | { readonly stage: 'sent' }
-  /** Status and headers of the attempt's own answer have arrived. */
+  /** Status and headers of the answer to this attempt have arrived. */
   | { readonly stage: 'answering' }
   | { readonly stage: 'complete' }
   | { readonly stage: 'failed', readonly failedAt: 'notSent' | 'sent' | 'answering', readonly execution: Execution }
 
-/** What is known of a failed attempt: it surely did not run, or it may have. */
+/** Whether a failed attempt may have been executed by the backend server. */
 export type Execution = 'notRun' | 'mayHaveRun'
 
 export type AttemptEvent =
-  /** The connection could not be made, or the attempt was given up before a byte was written. */
+  /** The connection could not be made, or the attempt was abandoned before a byte was written. */
   | 'notSent'
   /** The request was handed to a connection. */
   | 'written'
-  /** The backend server's documented refusal arrived. */
+  /** The backend server sent its documented refusal, which means that it did not run the request. */
   | 'refusedByBackend'
   /** An answer with another request's id arrived. */
   | 'crossedAnswer'
   | 'answerStarted'
-  /** The whole answer arrived, with its end marker where it has one. */
+  /** The complete answer arrived, with its end marker where it has one. */
   | 'answerEnded'
   /** The connection failed, or the answer ended too early. */
   | 'cut'
-  /** The caller hung up or the deadline passed. */
+  /** The caller disconnected or the deadline passed. */
   | 'cancelled'
 
 type Transitions = { readonly [Event in AttemptEvent]?: AttemptState }
@@ -62,14 +63,14 @@
 }
 
 /**
- * Moves an attempt on by one event.
+ * Applies one event to the state of an attempt.
  *
- * An event that the present state has no place for changes nothing: an answer
- * that arrives after the attempt has failed is late, and must not make it
- * complete, nor may a late connection error make a sent attempt "not run".
+ * An event without a transition from the current state is ignored: an answer
+ * that arrives after the attempt failed must not make it complete, and a late
+ * connection error must not turn a sent attempt into one that did not run.
  *
- * @param state - Where the attempt stands.
- * @param event - What happened.
+ * @param state - The current state of the attempt.
+ * @param event - The event to apply.
  * @returns The state after the event.
  *
  * @example
--- a/src/decisions/advanceAttempt/test.ts
+++ b/src/decisions/advanceAttempt/test.ts
@@ -11,20 +11,20 @@
 describe('advanceAttempt', () => {
   it.each<[string, readonly AttemptEvent[], AttemptState]>([
     ['refused connection', ['notSent'], { stage: 'failed', failedAt: 'notSent', execution: 'notRun' }],
-    ['given up before it was written', ['cancelled'], { stage: 'failed', failedAt: 'notSent', execution: 'notRun' }],
+    ['abandoned before it was written', ['cancelled'], { stage: 'failed', failedAt: 'notSent', execution: 'notRun' }],
     ['documented refusal', ['written', 'refusedByBackend'], { stage: 'failed', failedAt: 'sent', execution: 'notRun' }],
-    ['cut before an answer', ['written', 'cut'], { stage: 'failed', failedAt: 'sent', execution: 'mayHaveRun' }],
-    ['crossed answer', ['written', 'crossedAnswer'], { stage: 'failed', failedAt: 'sent', execution: 'mayHaveRun' }],
-    ['cut in mid-answer', ['written', 'answerStarted', 'cut'], { stage: 'failed', failedAt: 'answering', execution: 'mayHaveRun' }],
-    ['whole answer', ['written', 'answerStarted', 'answerEnded'], { stage: 'complete' }],
+    ['connection cut before an answer', ['written', 'cut'], { stage: 'failed', failedAt: 'sent', execution: 'mayHaveRun' }],
+    ['answer to another request', ['written', 'crossedAnswer'], { stage: 'failed', failedAt: 'sent', execution: 'mayHaveRun' }],
+    ['connection cut during the answer', ['written', 'answerStarted', 'cut'], { stage: 'failed', failedAt: 'answering', execution: 'mayHaveRun' }],
+    ['complete answer', ['written', 'answerStarted', 'answerEnded'], { stage: 'complete' }],
     ['answer after the failure', ['written', 'cut', 'answerStarted', 'answerEnded'], { stage: 'failed', failedAt: 'sent', execution: 'mayHaveRun' }],
     ['connection error after it was written', ['written', 'notSent'], { stage: 'sent' }],
-    ['end without a start', ['written', 'answerEnded'], { stage: 'sent' }]
-  ])('ends rightly after: %s', (_name, events, expected) => {
+    ['answer end without a start', ['written', 'answerEnded'], { stage: 'sent' }]
+  ])('reaches the expected state after: %s', (_name, events, expected) => {
     expect(fold(events)).toEqual(expected)
   })
 
-  it('says "not run" only before the request was written or after the documented refusal', () => {
+  it('reports notRun only before the request was written or after the documented refusal', () => {
     fc.assert(fc.property(anyEvents, (events) => {
       const state = fold(events)
       if (state.stage !== 'failed' || state.execution !== 'notRun') return
--- a/src/decisions/advanceCondition/index.ts
+++ b/src/decisions/advanceCondition/index.ts
@@ -1,42 +1,43 @@
 /**
- * How a backend server does, judged by its answers to real requests: whether
- * it is out of reach, and how much slower or more often failing than it should
- * be. A dark server shows as silence, a grey one as errors beside good health.
+ * Passive health tracking of a backend server from its answers to real
+ * requests: whether it is unreachable, its error rate, and how much slower than
+ * usual it is. An unreachable server sends nothing; a degraded one (gray
+ * failure) returns errors or is slow while its health checks still pass.
  */
 
 export type InstanceCondition = {
-  /** Failures to reach it, or silences, since its last answer. */
+  /** Times in a row that it was unreachable, did not respond or broke off, since its last answer. */
   readonly failuresInRow: number
-  /** Monotonic milliseconds until which it gets no work while others can take it. */
+  /** Monotonic milliseconds until which it is suspended: it gets no requests while other servers can take them. */
   readonly heldUntil: number
-  /** Whether it stays held after that until a connection to it could be made. */
+  /** Whether it stays suspended after that until a connection to it succeeds. */
   readonly needsProof: boolean
-  /** Share of its latest answers that were failures, in [0, 1]. */
+  /** Moving average of the share of its answers that were failures, in [0, 1]. */
   readonly errorShare: number
-  /** Time to its first bytes against what such requests usually take, averaged. */
+  /** Moving average of its time to first byte, as a multiple of the usual time of such requests. */
   readonly slowness: number
 }
 
 export type ConditionEvent =
-  /** No connection, or no byte within the time that others need. */
+  /** No connection, or no byte within the time that other servers need. */
   | { readonly kind: 'unreachable' }
-  /** The connection ended or brought bytes that are no answer. */
+  /** The connection ended early, or its bytes were not a valid answer. */
   | { readonly kind: 'broken' }
-  /** A connection to it was made for no other purpose. */
+  /** A connection that was opened only to probe the server succeeded. */
   | { readonly kind: 'reached' }
-  /** It says that it failed while it ran the request. */
+  /** The server reports that it failed while it ran the request. */
   | { readonly kind: 'errored' }
   | { readonly kind: 'answered', readonly slowness: number }
 
 export const initialCondition: InstanceCondition = { failuresInRow: 0, heldUntil: -Infinity, needsProof: false, errorShare: 0, slowness: 1 }
 
-/** Hold after the first failure in milliseconds: a few times the way to another zone and back. */
+/** Suspension after the first failure: a few round trips to another zone. Doubles with each further failure. */
 const FIRST_HOLD_MS = 400
-/** Longest hold: a server that is back serves again within that time. */
+/** Bounds the suspension, so that a recovered server serves again within that time. */
 const LONGEST_HOLD_MS = 2_000
-/** Broken answers in a row that count as out of reach: single ones come with lost packets. */
+/** Broken answers in a row after which a server is suspended. Single ones are caused by lost packets. */
 const BROKEN_IN_ROW = 3
-/** Weight of the newest answer in the averages: ten answers or so decide. */
+/** Weight of the newest answer in the moving averages, which then reflect about the last ten answers. */
 const NEWEST_WEIGHT = 0.12
 const SLOWNESS_AT_MOST = 20
 
@@ -48,7 +49,7 @@
 }
 
 const handlers: { readonly [Kind in ConditionEvent['kind']]: (condition: InstanceCondition, event: Extract<ConditionEvent, { kind: Kind }>, now: number) => InstanceCondition } = {
-  // Several requests meet the same silence at once; they are one failure.
+  // Several requests that time out during the same outage count as one failure.
   unreachable: (condition, _event, now) => now < condition.heldUntil ? condition : { ...hold(condition, condition.failuresInRow + 1, now), needsProof: true },
   reached: (condition, _event, now) => now < condition.heldUntil ? condition : { ...condition, needsProof: false },
   broken: (condition, _event, now) => {
@@ -67,12 +68,12 @@
 }
 
 /**
- * Takes one event into a server's condition.
+ * Updates the condition of a server with one event.
  *
- * @param condition - The condition so far.
- * @param event - What happened to one request there.
+ * @param condition - The condition before the event.
+ * @param event - The outcome of one request or probe.
  * @param now - Monotonic milliseconds.
- * @returns The condition after it.
+ * @returns The condition after the event.
  *
  * @example
  * advanceCondition(initialCondition, { kind: 'unreachable' }, 0).heldUntil // => 400
--- a/src/decisions/advanceCondition/test.ts
+++ b/src/decisions/advanceCondition/test.ts
@@ -6,18 +6,18 @@
   events.reduce((condition, [event, now]) => advanceCondition(condition, event, now), initialCondition)
 
 describe('advanceCondition', () => {
-  test('holds a server that is out of reach', () => expect(apply([[{ kind: 'unreachable' }, 0]])).toMatchObject({ heldUntil: 400, needsProof: true }))
-  test('takes silences that several requests meet at once for one', () => expect(apply([[{ kind: 'unreachable' }, 0], [{ kind: 'unreachable' }, 10]]).failuresInRow).toBe(1))
-  test('holds longer each time, up to a bound', () => {
+  test('suspends an unreachable server', () => expect(apply([[{ kind: 'unreachable' }, 0]])).toMatchObject({ heldUntil: 400, needsProof: true }))
+  test('counts concurrent timeouts of several requests as one failure', () => expect(apply([[{ kind: 'unreachable' }, 0], [{ kind: 'unreachable' }, 10]]).failuresInRow).toBe(1))
+  test('doubles the suspension with each failure up to the maximum', () => {
     const events = Array.from({ length: 10 }, (_, index): readonly [ConditionEvent, number] => [{ kind: 'unreachable' }, index * 10_000])
     expect(apply(events).heldUntil).toBe(90_000 + 2_000)
   })
-  test('lets it go when a connection was made after the hold', () => expect(apply([[{ kind: 'unreachable' }, 0], [{ kind: 'reached' }, 500]]).needsProof).toBe(false))
-  test('keeps the hold when a connection was made during it', () => expect(apply([[{ kind: 'unreachable' }, 0], [{ kind: 'reached' }, 100]]).needsProof).toBe(true))
-  test('lets it go at an answer', () => expect(apply([[{ kind: 'unreachable' }, 0], [{ kind: 'answered', slowness: 1 }, 100]])).toMatchObject({ needsProof: false, heldUntil: -Infinity, failuresInRow: 0 }))
-  test('bears single broken answers', () => expect(apply([[{ kind: 'broken' }, 0], [{ kind: 'broken' }, 1]]).heldUntil).toBe(-Infinity))
-  test('holds after several broken answers in a row', () => expect(apply([[{ kind: 'broken' }, 0], [{ kind: 'broken' }, 1], [{ kind: 'broken' }, 2]]).heldUntil).toBeGreaterThan(2))
-  test('averages failures that the server states', () => {
+  test('ends the suspension when a connection succeeds after its time', () => expect(apply([[{ kind: 'unreachable' }, 0], [{ kind: 'reached' }, 500]]).needsProof).toBe(false))
+  test('ignores a connection that succeeds during the suspension', () => expect(apply([[{ kind: 'unreachable' }, 0], [{ kind: 'reached' }, 100]]).needsProof).toBe(true))
+  test('ends the suspension at an answer', () => expect(apply([[{ kind: 'unreachable' }, 0], [{ kind: 'answered', slowness: 1 }, 100]])).toMatchObject({ needsProof: false, heldUntil: -Infinity, failuresInRow: 0 }))
+  test('tolerates two broken answers in a row', () => expect(apply([[{ kind: 'broken' }, 0], [{ kind: 'broken' }, 1]]).heldUntil).toBe(-Infinity))
+  test('suspends a server after three broken answers in a row', () => expect(apply([[{ kind: 'broken' }, 0], [{ kind: 'broken' }, 1], [{ kind: 'broken' }, 2]]).heldUntil).toBeGreaterThan(2))
+  test('averages the failures that the server reports', () => {
     const events = Array.from({ length: 40 }, (_, index): readonly [ConditionEvent, number] => [index % 2 === 0 ? { kind: 'errored' } : { kind: 'answered', slowness: 1 }, index])
     expect(apply(events).errorShare).toBeGreaterThan(0.35)
     expect(apply(events).errorShare).toBeLessThan(0.65)
--- a/src/decisions/advanceEjection/index.ts
+++ b/src/decisions/advanceEjection/index.ts
@@ -1,7 +1,7 @@
 /**
- * Ejection of a backend server that fails or flaps: out for a time that
- * doubles with each ejection, then back with a small share of its slots that
- * grows, and out again at the first failure while it does.
+ * Outlier ejection of a backend server that fails or flaps. The ejection time
+ * doubles with each ejection. The server then returns in slow start, with a
+ * small share of its slots that grows; a failure in slow start ejects it again.
  */
 import type { AttemptOutcome } from '../../types/index.js'
 
@@ -9,17 +9,17 @@
 
 export type Ejection = {
   readonly phase: EjectionPhase
-  /** Why it is or was out: failed requests, or connections that could not be made. */
+  /** Cause of the current or last ejection: failed requests, or connections that could not be made. */
   readonly cause: 'failed' | 'unreachable'
-  /** Attempts that failed in a row. */
+  /** Failed attempts in a row. */
   readonly failures: number
-  /** Connections that could not be made in a row, for attempts or probes. */
+  /** Failed connections in a row, of attempts and probes. */
   readonly refusals: number
-  /** Probes without an answer in a row. */
+  /** Unanswered probes in a row. */
   readonly silences: number
-  /** Moving average of failures among attempts, 0 to 1. */
+  /** Moving average of the share of failed attempts, 0 to 1. */
   readonly failureRate: number
-  /** Ejections that are not forgotten yet. */
+  /** Ejections that still count for the next ejection time. */
   readonly ejections: number
   /** Monotonic milliseconds at which the phase began. */
   readonly since: number
@@ -27,17 +27,17 @@
   readonly until: number
 }
 
-/** How an attempt or a probe went, or the passing of time alone. A probe that could not connect is `notSent`. */
+/** The outcome of an attempt or a probe, or a timer tick. A probe that could not connect is `notSent`. */
 export type EjectionEvent = AttemptOutcome | 'probeAnswered' | 'probeUnanswered' | 'tick'
 
 export type EjectionLimits = {
-  /** Failed attempts in a row that eject. */
+  /** Failed attempts in a row after which the server is ejected. */
   readonly failures: number
   /** Connections refused in a row after which the server is unreachable. */
   readonly refusals: number
-  /** Unanswered probes in a row that eject. */
+  /** Unanswered probes in a row after which the server is ejected. */
   readonly silences: number
-  /** Share of failed attempts above which a server is ejected that fails and succeeds by turns. */
+  /** Failure rate above which the server is ejected, for servers that alternate between failure and success. */
   readonly failureRate: number
   readonly holdMs: number
   readonly maximumHoldMs: number
@@ -46,7 +46,7 @@
   readonly forgetAfterMs: number
 }
 
-/** Share of its slots that a server comes back with. */
+/** Share of its slots that a server has at the start of slow start. */
 export const FIRST_WEIGHT_SHARE = 0.1
 
 const RATE_STEP = 0.1
@@ -56,7 +56,7 @@
 type Handler = (ejection: Ejection, now: number, limits: EjectionLimits) => Ejection
 
 /**
- * Gives the state of a server that nothing is known of.
+ * Creates the initial state of a server.
  *
  * @returns A live state without failures.
  *
@@ -67,13 +67,13 @@
   ({ phase: 'live', cause: 'failed', ...NO_FAILURES, ejections: 0, since: 0, until: 0 })
 
 /**
- * Advances the ejection of one server by one event.
+ * Applies one event to the ejection state of a server.
  *
- * @param ejection - The state so far.
- * @param event - What happened.
+ * @param ejection - The state before the event.
+ * @param event - The event to apply.
  * @param now - Monotonic time in milliseconds.
- * @param limits - Numbers of failures and times in milliseconds.
- * @returns The new state; the same one when nothing changed.
+ * @param limits - Failure limits and times in milliseconds.
+ * @returns The new state; the same object when nothing changed.
  *
  * @example
  * advanceEjection(createEjection(), 'complete', 0, limits).phase // => 'live'
@@ -96,8 +96,8 @@
 }
 
 const fail = (failed: Ejection, cause: Ejection['cause'], isOverLimit: boolean, now: number, limits: EjectionLimits): Ejection => {
-  // A server that still fails when its time is up would come back only to fail
-  // again. Failures of requests that were under way count no second ejection.
+  // A server that still fails at the end of its ejection would return only to fail
+  // again. Failures of requests already in flight do not count as a second ejection.
   if (failed.phase === 'ejected') return { ...failed, cause, until: Math.max(failed.until, now + limits.holdMs) }
   return failed.phase === 'slowStart' || isOverLimit ? eject(failed, cause, now, limits) : failed
 }
@@ -119,7 +119,7 @@
     const refusals = ejection.refusals + 1
     return fail({ ...ejection, refusals }, 'unreachable', refusals >= limits.refusals, now, limits)
   },
-  // An answered probe proves that the server can be reached, not that requests succeed there.
+  // An answered probe shows that the server is reachable, not that requests succeed there.
   probeAnswered: (ejection) => ejection.refusals === 0 && ejection.silences === 0 ? ejection : { ...ejection, refusals: 0, silences: 0 },
   probeUnanswered: (ejection, now, limits) => {
     const silences = ejection.silences + 1
@@ -128,12 +128,12 @@
 }
 
 /**
- * Gives the share of its slots that a server may get work for.
+ * Computes the share of its slots for which a server may get requests.
  *
- * @param ejection - State of the server.
+ * @param ejection - The ejection state of the server.
  * @param now - Monotonic time in milliseconds.
  * @param limits - The length of the slow start in milliseconds.
- * @returns 0 while ejected, growing to 1 during slow start, else 1.
+ * @returns 0 while ejected, growing to 1 during slow start, otherwise 1.
  *
  * @example
  * computeWeightShare(createEjection(), 0, limits) // => 1
--- a/src/decisions/advanceEjection/test.ts
+++ b/src/decisions/advanceEjection/test.ts
@@ -20,13 +20,13 @@
     { case: 'failed requests with answered probes in between', events: ['failed', 'probeAnswered', 'failed', 'probeAnswered', 'failed'], phase: 'ejected' },
     { case: 'three unanswered probes', events: ['probeUnanswered', 'probeUnanswered', 'probeUnanswered'], phase: 'ejected' },
     { case: 'documented refusals', events: ['refused', 'refused', 'refused', 'refused'], phase: 'live' },
-    { case: 'more failures than successes by turns', events: Array.from({ length: 30 }, (_, index) => index % 3 === 0 ? 'complete' : 'failed'), phase: 'ejected' }
+    { case: 'more failures than successes in alternation', events: Array.from({ length: 30 }, (_, index) => index % 3 === 0 ? 'complete' : 'failed'), phase: 'ejected' }
   ])('is $phase after $case', ({ events, phase }) => {
     expect(advanceAll(events).phase).toBe(phase)
   })
 
-  // A flapping server with the same time out each round would fail the same share of requests for ever.
-  it('doubles the time out of a flapping server up to a bound', () => {
+  // With a constant ejection time, a flapping server would go on failing the same share of requests.
+  it('doubles the ejection time of a flapping server up to the maximum', () => {
     let ejection = advanceAll(['failed', 'failed', 'failed'])
     const holds = [ejection.until - ejection.since]
     for (let round = 0; round < 4; round++) {
@@ -36,25 +36,25 @@
     expect(holds).toEqual([1000, 2000, 4000, 8000, 8000])
   })
 
-  it('comes back slowly and is live in the end', () => {
+  it('returns through slow start and is live at its end', () => {
     const ejected = advanceAll(['notSent', 'notSent'])
     const back = advanceEjection(ejected, 'tick', 1000, LIMITS)
     expect([1000, 3000, 5000].map((now) => computeWeightShare(back, now, LIMITS))).toEqual([FIRST_WEIGHT_SHARE, 0.55, 1])
     expect(advanceEjection(back, 'tick', 5000, LIMITS).phase).toBe('live')
   })
 
-  it('stays out while connections are still refused', () => {
+  it('stays ejected while connections are still refused', () => {
     const ejected = advanceAll(['notSent', 'notSent'])
     expect(advanceEjection(ejected, 'notSent', 900, LIMITS).until).toBe(1900)
   })
 
-  it('forgets earlier ejections after a quiet time', () => {
+  it('forgets earlier ejections after a time without one', () => {
     const back = advanceAll(['tick', 'tick', 'tick'], 100_000, advanceAll(['notSent', 'notSent']))
     const later = advanceEjection(back, 'tick', 200_000, LIMITS)
     expect(later.ejections).toBe(0)
   })
 
-  it('always lets a server back in, whatever happened before', () => {
+  it('readmits a server within the maximum ejection time after any history', () => {
     fc.assert(fc.property(fc.array(fc.tuple(fc.constantFrom(...EVENTS), fc.nat({ max: 5000 })), { maxLength: 60 }), (history) => {
       let now = 0
       let ejection = createEjection()
--- a/src/decisions/canonicalizeSheet/index.ts
+++ b/src/decisions/canonicalizeSheet/index.ts
@@ -1,8 +1,8 @@
-/** One form for all sheets that mean the same. */
+/** Puts equivalent sheets into the same canonical form. */
 import type { Sheet } from '../../types/index.js'
 
 /**
- * Puts a sheet in canonical form: each list sorted by name, key hashes sorted.
+ * Puts a sheet into canonical form: each list sorted by name, key hashes sorted.
  *
  * @param sheet - A sheet with records in any order.
  * @returns The same records in canonical order.
--- a/src/decisions/checkSheet/index.ts
+++ b/src/decisions/checkSheet/index.ts
@@ -1,6 +1,6 @@
 /**
- * Checks of a whole sheet: names that stand twice, references to records that
- * are missing, and settings that contradict each other.
+ * Validates a complete sheet: duplicate names, references to missing records,
+ * and settings that contradict each other.
  */
 import type { BackendService, Sheet, SheetColumn, SheetFault } from '../../types/index.js'
 
@@ -9,11 +9,11 @@
 /**
  * Checks that the records of a sheet fit together.
  *
- * The form of single values is checked where a sheet is read; this check is
- * for a sheet that was changed by a program too, such as a drain.
+ * The format of single values is checked when a sheet is parsed. This check
+ * also runs on sheets that a program changed, such as the drain command.
  *
  * @param sheet - The sheet to check.
- * @returns Every fault, with the record's list and its position there; empty when the sheet is sound.
+ * @returns Every fault, with the record's list and its index there; empty when the sheet is valid.
  *
  * @example
  * checkSheet({ clientAccounts: [], services: [], backendServers: [], routes: [], plannedStops: [] }) // => []
@@ -92,7 +92,7 @@
   ]
 }
 
-/** Requests of one model name or path prefix must find exactly one route. */
+/** Each model name and each path prefix must match exactly one route. */
 const checkRouteClashes: Check = (sheet) => (['model', 'path'] as const).flatMap((column) => {
   const targets = sheet.routes.map((route) => column === 'path' ? route.path?.replace(/(?<=.)\/$/, '') ?? '' : route.model ?? '')
   return findDoubles(targets).map((index) => ({ record: 'routes' as const, index, column, message: `${column} "${sheet.routes[index]?.[column]}" belongs to another route already` }))
@@ -104,7 +104,7 @@
   return [{ record: 'plannedStops', index, column: 'endsAt', message: 'endsAt must be after startsAt' }]
 })
 
-/** Positions of values that stood earlier in the list; blanks are not compared. */
+/** Returns the indexes of values that occur earlier in the list; empty values are not compared. */
 const findDoubles = (values: readonly string[]): readonly number[] => {
   const seen = new Set<string>()
   return values.flatMap((value, index) => {
--- a/src/decisions/chooseBackendServer/index.ts
+++ b/src/decisions/chooseBackendServer/index.ts
@@ -1,24 +1,24 @@
 /**
- * Bounded-load placement with a memory of where a chat went. The load bound
- * rules; within it a returning chat goes back to the server that holds its
- * prefix. A new chat has no prefix to lose, so it is kept to servers near the
- * mean: what it leaves free there is room for chats that return.
+ * Places chats by rendezvous hashing with bounded loads and sticky placement.
+ * Within the load bound, a returning chat goes to the server that caches its
+ * prompt prefix. A new chat has no cached prefix, so it may only go to servers
+ * near the mean load, which leaves room on the others for returning chats.
  */
 import type { PlacementDemand } from '../../types/index.js'
 import { computeLoadBounds, type LoadedCandidate } from '../computeLoadBounds/index.js'
 import { rankBackendServers } from '../rankBackendServers/index.js'
 
-/** The part of a demand that decides within one service. */
+/** The part of a placement demand that selects a server within one service. */
 export type ChatDemand = Omit<PlacementDemand, 'service'>
 
 export type PlacementOptions = {
   /** Multiple of the weighted mean load up to which a returning chat is placed. */
   readonly loadTarget: number
-  /** The same for a new chat; 1.1 by default, and never more than `loadTarget`. */
+  /** The same for a new chat; 1.1 by default, at most `loadTarget`. */
   readonly newChatLoadTarget?: number
-  /** Multiple of the weighted mean load that must hold; the same as `loadTarget` by default. */
+  /** Multiple of the weighted mean load that is never exceeded; `loadTarget` by default. */
   readonly loadLimit?: number
-  /** How many first ranks a new chat chooses among; 4 by default, 1 takes the ranking as it is. */
+  /** Number of highest-ranked servers among which a new chat takes the least loaded; 4 by default, 1 uses the ranking alone. */
   readonly newChatChoices?: number
 }
 
@@ -28,16 +28,16 @@
 /**
  * Chooses the backend server for one request.
  *
- * The choice is, in this order: the remembered server; for a new chat the
- * least loaded of its first ranks; the first rank. Each counts only while it
- * is under its load bound, else the ranking is walked on. Should every
- * candidate be over its bound, which late counts alone can make it seem, the
- * one with the least load for its weight is taken.
+ * Only servers under their load target are considered. A chat goes to the
+ * server of its placement hint; without one, a new chat goes to the least loaded
+ * of its highest-ranked servers, and a returning chat to the highest-ranked. If
+ * no server is under its target, which only delayed load counts can make it
+ * seem, the server under the limit with the least load per weight is taken.
  *
  * @param demand - The chat to place.
- * @param candidates - The servers that may get new work, with their load.
- * @param options - Load targets and limit, and the choices for a new chat.
- * @returns The chosen candidate; `undefined` when there is none under the limit.
+ * @param candidates - The servers that may get new requests, with their load.
+ * @param options - Load targets and limit, and the number of choices for a new chat.
+ * @returns The chosen candidate; `undefined` when no server is under the limit.
  *
  * @example
  * chooseBackendServer({ chatKey: 'chat-1', isNewChat: true, excluded: new Set() }, [{ name: 'engine-1', weight: 8, inFlight: 0 }], { loadTarget: 1.26 })
--- a/src/decisions/chooseBackendServer/test.ts
+++ b/src/decisions/chooseBackendServer/test.ts
@@ -13,56 +13,56 @@
     expect(chooseBackendServer({ chatKey: 'chat', isNewChat: true, excluded }, [], options)).toBeUndefined()
   })
 
-  it('takes a chat back to the server that it is remembered on', () => {
+  it('places a returning chat on its hinted server', () => {
     const candidates = createCandidates({ a: 4, b: 4, c: 4 })
     const choice = chooseBackendServer({ chatKey: 'chat', isNewChat: false, excluded, hintedBackendServer: 'b' }, candidates, options)
     expect(choice?.name).toBe('b')
   })
 
-  it('passes over the remembered server when it is at its bound', () => {
+  it('skips the hinted server when it is at its load bound', () => {
     const candidates = createCandidates({ a: 2, b: 20, c: 2 })
     const choice = chooseBackendServer({ chatKey: 'chat', isNewChat: false, excluded, hintedBackendServer: 'b' }, candidates, options)
     expect(choice?.name).not.toBe('b')
   })
 
-  it('ignores a remembered server that is no candidate', () => {
+  it('ignores a hinted server that is not a candidate', () => {
     const candidates = createCandidates({ a: 0 })
     const choice = chooseBackendServer({ chatKey: 'chat', isNewChat: false, excluded, hintedBackendServer: 'gone' }, candidates, options)
     expect(choice?.name).toBe('a')
   })
 
-  it('takes the first rank for a returning chat that nobody remembers', () => {
+  it('places a returning chat without a hint on the highest-ranked server', () => {
     const candidates = createCandidates({ a: 4, b: 4, c: 4 })
     const choice = chooseBackendServer({ chatKey: 'chat', isNewChat: false, excluded }, candidates, options)
     expect(choice).toBe(rankBackendServers('chat', candidates)[0])
   })
 
-  it('takes the less loaded of as many first ranks as a new chat may choose among', () => {
+  it('places a new chat on the least loaded of its `newChatChoices` highest-ranked servers', () => {
     const ranked = rankBackendServers('chat', createCandidates({ a: 0, b: 0, c: 0 })).map(({ name }) => name)
     const candidates = ranked.map((name, rank) => ({ name, weight: 8, inFlight: [5, 4, 0][rank] ?? 0 }))
     const choice = chooseBackendServer({ chatKey: 'chat', isNewChat: true, excluded }, candidates, { loadTarget: 3, newChatLoadTarget: 3, newChatChoices: 2 })
     expect(choice?.name).toBe(ranked[1])
   })
 
-  it('keeps a new chat off a server that a returning chat may still use', () => {
+  it('does not place a new chat on a server that a returning chat may still use', () => {
     const candidates = createCandidates({ a: 10, b: 8, c: 8 })
     const place = (isNewChat: boolean) => chooseBackendServer({ chatKey: 'chat', isNewChat, excluded, hintedBackendServer: 'a' }, candidates, { loadTarget: 1.4 })
     expect([place(false)?.name, place(true)?.name]).toEqual(['a', expect.not.stringMatching('a')])
   })
 
-  it('weighs the load by the slots of a server', () => {
+  it('compares loads relative to the slots of a server', () => {
     const candidates = [{ name: 'small', weight: 1, inFlight: 2 }, { name: 'large', weight: 8, inFlight: 4 }]
     const choice = chooseBackendServer({ chatKey: 'chat', isNewChat: true, excluded }, candidates, { loadTarget: 10 })
     expect(choice?.name).toBe('large')
   })
 
-  it('counts an excluded server for the mean but does not choose it', () => {
+  it('includes an excluded server in the mean but does not choose it', () => {
     const candidates = createCandidates({ a: 0, b: 9, c: 9 })
     const choice = chooseBackendServer({ chatKey: 'chat', isNewChat: true, excluded: new Set(['a']) }, candidates, { loadTarget: 1.25, loadLimit: 1.5 })
     expect(['b', 'c']).toContain(choice?.name)
   })
 
-  it('chooses nothing when every server that is left is at the limit', () => {
+  it('chooses nothing when every remaining server is at the limit', () => {
     const candidates = createCandidates({ a: 0, b: 12, c: 12 })
     const choice = chooseBackendServer({ chatKey: 'chat', isNewChat: true, excluded: new Set(['a']) }, candidates, { loadTarget: 1.25, loadLimit: 1.4 })
     expect(choice).toBeUndefined()
--- a/src/decisions/compareCapacity/index.ts
+++ b/src/decisions/compareCapacity/index.ts
@@ -1,19 +1,19 @@
 /**
- * Who takes on what one node does for many: reading, summing and passing on
- * would take a large part of a small VM's processor and link, and little of a
- * large one's.
+ * Orders nodes by CPU capacity, to select those that do work for others:
+ * reading the platform's store, aggregating and forwarding. This work would use
+ * a large part of a small VM's CPU and network link, and little of a large one's.
  */
 import type { Member } from '../../types/index.js'
 
-/** A node that does not say what it has is taken for a whole core. */
+/** A node that does not report its capacity counts as one full core. */
 const DEFAULT_MILLICORES = 1_000
 
 /**
- * Compares two nodes for sorting, the one with more processor first.
+ * Compares two nodes for sorting in descending order of CPU capacity.
  *
  * @param left - One node.
  * @param right - The other.
- * @returns A negative number when `left` has more, a positive one when `right` has, 0 when they are alike.
+ * @returns A negative number when `left` has more capacity, a positive one when `right` has, 0 when they are equal.
  *
  * @example
  * compareCapacity({ ...member, millicores: 1350 }, { ...member, millicores: 324 }) // => -1026
--- a/src/decisions/compareRecords/index.ts
+++ b/src/decisions/compareRecords/index.ts
@@ -1,7 +1,7 @@
 /**
- * What changed between two configurations, for a peer that holds the earlier
- * one. A storm of versions of hundreds of routes costs about what changes in
- * each, since records that did not change are told apart by identity alone.
+ * Computes the difference between two configurations for a peer that holds the
+ * earlier one. Unchanged records are recognised by object identity, so a burst of
+ * versions with hundreds of routes costs about as much as the changes in each.
  */
 import type { ConfigurationRecords, RecordChange, RecordStep } from '../../types/index.js'
 
@@ -48,7 +48,7 @@
  *
  * @param base - Records of the earlier one.
  * @param next - Records of the later one; unchanged ones are the same objects.
- * @returns The steps by section; their size follows the change.
+ * @returns The edit steps by section; their size is proportional to the change.
  *
  * @example
  * compareRecords({ routes: [a, b] }, { routes: [a, c] }) // => { routes: [{ from: 0, count: 1 }, { records: [c] }] }
--- a/src/decisions/compareRecords/test.ts
+++ b/src/decisions/compareRecords/test.ts
@@ -10,7 +10,7 @@
 const RECORDS = createRecords(12)
 
 describe('compareRecords', () => {
-  test('names one run and the new record when one of many changed', () => {
+  test('copies the unchanged runs and sends the new record when one of many changed', () => {
     const base = createRecords(1_200)
     const changed = { name: 'route-700', isChanged: true }
     expect(compareRecords({ routes: base }, { routes: base.with(700, changed) })).toEqual({
@@ -18,16 +18,16 @@
     })
   })
 
-  test('lists all records of a section that is new', () => {
+  test('lists all records of a new section', () => {
     expect(compareRecords({}, { tenants: RECORDS.slice(0, 2) })).toEqual({ tenants: [{ records: RECORDS.slice(0, 2) }] })
   })
 
-  test('leaves out a section that is gone', () => {
+  test('omits a removed section', () => {
     const base = { routes: RECORDS, tenants: RECORDS }
     expect(patchRecords(base, compareRecords(base, { routes: RECORDS }))).toEqual({ routes: RECORDS })
   })
 
-  test('gives what leads from any records to any others', () => {
+  test('gives a change that patches any records into any others', () => {
     const lists = fc.array(fc.constantFrom(...RECORDS), { maxLength: 20 })
     const sections = fc.record({ routes: lists, services: lists }, { requiredKeys: [] })
     fc.assert(fc.property(sections, sections, (base, next) => {
--- a/src/decisions/compareSheets/index.ts
+++ b/src/decisions/compareSheets/index.ts
@@ -1,4 +1,4 @@
-/** What differs between two sheets, record by record, for people to read. */
+/** Lists the differences between two sheets, record by record, in a human-readable form. */
 import { formatIsoTime } from '../../kernel/index.js'
 import type { Sheet, SheetChange } from '../../types/index.js'
 
@@ -7,11 +7,11 @@
 /**
  * Compares two sheets.
  *
- * Key hashes are shown by their first digits only, enough to tell which key
- * was replaced; the whole hash stays out of terminals and the audit trail.
+ * Only the first digits of a key hash are shown, enough to identify a replaced
+ * key; the complete hash stays out of terminals and the audit trail.
  *
  * @param before - The sheet in force, or `undefined` for none.
- * @param after - The sheet to put in force.
+ * @param after - The sheet to apply.
  * @returns The changes by record kind and name. `before` is absent for a new record, `after` for a removed one.
  *
  * @example
--- a/src/decisions/computeBackoff/index.ts
+++ b/src/decisions/computeBackoff/index.ts
@@ -1,12 +1,13 @@
-/** Waiting between attempts, spread so that many nodes do not come back at once. */
+/** Exponential backoff with jitter, so that many nodes do not retry at the same time. */
 
 export type BackoffRange = { readonly minimumBackoffMs: number, readonly maximumBackoffMs: number }
 
 /**
  * Computes how long to wait after a number of failures in a row.
  *
- * The bound doubles with each failure up to the maximum; the wait is drawn
- * from its upper half, so that no node hammers and no two keep in step.
+ * The bound doubles with each failure up to the maximum. The wait is a random
+ * value in its upper half, so that no node retries too fast and nodes do not
+ * stay synchronised.
  *
  * @param failures - Failures in a row, from 1.
  * @param range - Smallest and largest bound in milliseconds.
