--- a/src/decisions/computeLoadBounds/index.ts
+++ b/src/decisions/computeLoadBounds/index.ts
@@ -1,27 +1,28 @@
 /**
- * The load bound: how many requests a backend server may carry, as a multiple
- * of the weighted mean over the servers that share the work.
+ * Computes load bounds: how many requests a backend server may have in flight,
+ * as a multiple of the weighted mean over the servers of its service.
  */
 
-/** A backend server with its weight and what it is thought to carry. */
+/** A backend server with its weight and its estimated load. */
 export type LoadedCandidate = {
   readonly name: string
-  /** Share of the work it should get, in slots. Above 0. */
+  /** Weight by which it should get requests, in slots. Above 0. */
   readonly weight: number
-  /** Requests in flight on it from the whole fleet, as far as known. */
+  /** Requests in flight on it from the whole fleet, as last reported. */
   readonly inFlight: number
 }
 
 /**
- * Computes how many requests each candidate may carry, the one that is about
- * to be placed included.
+ * Computes how many requests each candidate may have in flight, including the
+ * one that is about to be placed.
  *
  * A candidate's bound is `multiple` times its share, by weight, of all requests
- * in flight, rounded up: with fewer requests than servers a server must still
- * be able to carry one. As `multiple` is at least 1, the bounds sum to more
- * than the requests in flight, so some candidate is always under its bound.
+ * in flight. It is rounded up, so that a server may take one request even when
+ * there are fewer requests than servers. As `multiple` is at least 1, the bounds
+ * add up to more than the requests in flight, so at least one candidate is
+ * always under its bound.
  *
- * @param candidates - The backend servers that share the work.
+ * @param candidates - The backend servers of the service.
  * @param multiple - Multiple of the weighted mean; at least 1.
  * @returns The bound of each candidate by name, in requests.
  *
--- a/src/decisions/computeLoadBounds/test.ts
+++ b/src/decisions/computeLoadBounds/test.ts
@@ -7,12 +7,12 @@
     expect(computeLoadBounds([], 1.5).size).toBe(0)
   })
 
-  it('lets an idle server carry one request', () => {
+  it('allows one request on an idle server', () => {
     const candidates = Array.from({ length: 12 }, (_, index) => ({ name: `engine-${index}`, weight: 8, inFlight: 0 }))
     expect(computeLoadBounds(candidates, 1.25).get('engine-3')).toBe(1)
   })
 
-  it('gives a server of twice the weight twice the bound', () => {
+  it('gives a server with twice the weight twice the bound', () => {
     const bounds = computeLoadBounds([{ name: 'small', weight: 4, inFlight: 10 }, { name: 'large', weight: 8, inFlight: 19 }], 1.5)
     expect([bounds.get('small'), bounds.get('large')]).toEqual([15, 30])
   })
--- a/src/decisions/computeReturnDelay/index.ts
+++ b/src/decisions/computeReturnDelay/index.ts
@@ -1,27 +1,28 @@
 /**
- * When callers come back who found every backend server full, refusing or gone.
- * Some hundred are refused at once when a service fails; sent back to one moment,
- * they would fail together again.
+ * Computes the Retry-After of requests that are rejected because every backend
+ * server is full, refuses requests or is gone. Hundreds of callers are rejected
+ * at once when a service fails. The delay has jitter, because callers that all
+ * retry at the same moment would fail together again (thundering herd).
  */
 import type { FinalReason } from '../../types/index.js'
 
-/** A held server is tried again after 400 ms: some are back by then. */
+/** A suspended server is tried again after 400 ms, so some servers are available by the time of the retry. */
 const SHORTEST_MS = 250
-/** Twice as long as the shortest wait, which spreads a crowd thinly enough for two or three returns. */
+/** Jitter of twice the minimum delay: spreads a burst of callers enough for two or three retries. */
 const SPREAD_MS = 500
 
-/** A drain ends by the operator's hand, and a region gets servers no sooner: coming back at once finds the same. */
+/** Only an operator ends a drain or adds servers to a region, so an immediate retry would be rejected again. */
 const UNPLACEABLE_MS = 1_500
 
-/** Reasons of refusals that stand for longer than a server is held. */
+/** Refusal reasons that last longer than the suspension of a server. */
 const LASTING_REASONS: ReadonlySet<FinalReason> = new Set(['zoneDrained', 'regionNotAllowed'])
 
 /**
- * Computes the time after which a refused caller comes back.
+ * Computes the delay after which a rejected caller should retry.
  *
  * @param randomShare - A number in [0, 1).
- * @param reason - Why it was refused; one that passes within the second by default.
- * @returns Milliseconds.
+ * @param reason - Why the request was rejected; a reason that passes within a second by default.
+ * @returns The delay in milliseconds.
  *
  * @example
  * computeReturnDelay(0) // => 250
--- a/src/decisions/computeReturnDelay/test.ts
+++ b/src/decisions/computeReturnDelay/test.ts
@@ -2,6 +2,6 @@
 import { computeReturnDelay } from './index.js'
 
 describe('computeReturnDelay', () => {
-  test('spreads callers over half a second', () => expect([0, 0.5].map((share) => computeReturnDelay(share))).toEqual([250, 500]))
-  test('never sends one back at once', () => expect(computeReturnDelay(0)).toBeGreaterThan(0))
+  test('spreads retries over half a second', () => expect([0, 0.5].map((share) => computeReturnDelay(share))).toEqual([250, 500]))
+  test('never asks for an immediate retry', () => expect(computeReturnDelay(0)).toBeGreaterThan(0))
 })
--- a/src/decisions/createLoadDigest/index.ts
+++ b/src/decisions/createLoadDigest/index.ts
@@ -1,6 +1,6 @@
 /**
- * What to send of the load counts: everything, or only what changed since the
- * last digest to the same receiver.
+ * Creates the load digests that a node sends to its peers: all load counts, or
+ * only those that changed since the last digest to the same receiver.
  */
 import type { LoadCount, LoadDigest } from '../../types/index.js'
 
@@ -9,12 +9,12 @@
 /**
  * Creates the next digest for one receiver.
  *
- * Counts are the numbers themselves and never differences, so that applying a
- * digest twice does no harm. A count that fell to nothing is sent as 0.
+ * Counts are absolute values, never differences, so that applying a digest
+ * twice has no effect. A count that dropped to zero is sent as 0.
  *
  * @param head - Source and sequence number of the digest.
- * @param counts - Requests in flight by backend server, now.
- * @param sent - The counts as last sent to this receiver; `undefined` asks for a full digest.
+ * @param counts - Current requests in flight by backend server.
+ * @param sent - The counts as last sent to this receiver; `undefined` for a full digest.
  * @returns The digest, or `undefined` when nothing changed.
  *
  * @example
--- a/src/decisions/creditRetryBudget/index.ts
+++ b/src/decisions/creditRetryBudget/index.ts
@@ -1,7 +1,7 @@
 /**
- * The retry budget is a token bucket that first attempts fill and retries
- * empty. When a whole pool fails, retries stay a share of the traffic instead
- * of multiplying it.
+ * Credits the retry budget, a token bucket that first attempts fill and retries
+ * empty. When all servers of a service fail, retries stay a share of the traffic
+ * instead of multiplying it.
  */
 
 export type RetryBudget = { readonly tokens: number }
@@ -9,9 +9,9 @@
 /**
  * Credits the budget for one first attempt.
  *
- * @param budget - The budget so far.
+ * @param budget - The budget before the credit.
  * @param share - Retries allowed per first attempt, for example 0.1.
- * @param capacity - Most tokens that the bucket holds.
+ * @param capacity - Maximum number of tokens in the bucket.
  * @returns The budget after the credit.
  *
  * @example
--- a/src/decisions/decayUsage/index.ts
+++ b/src/decisions/decayUsage/index.ts
@@ -1,12 +1,12 @@
-/** How past work fades, so that a surge is remembered for seconds and not for ever. */
+/** Decays the past usage of a client account, so that a burst counts against it for seconds rather than for good. */
 
 /**
- * Decays an amount of past work exponentially.
+ * Decays an amount of past usage exponentially.
  *
- * @param tokens - The amount at the start, in tokens.
+ * @param tokens - The initial amount, in tokens.
  * @param elapsedMs - Milliseconds since then; a negative value counts as 0.
- * @param halfLifeMs - Milliseconds after which half is left. Above 0.
- * @returns What is left, in tokens.
+ * @param halfLifeMs - Half-life in milliseconds. Above 0.
+ * @returns The remaining amount, in tokens.
  *
  * @example
  * decayUsage(100, 5_000, 5_000) // => 50
--- a/src/decisions/decodeChunk/index.ts
+++ b/src/decisions/decodeChunk/index.ts
@@ -1,4 +1,4 @@
-/** Reading of one chunk of a configuration. */
+/** Decodes one chunk of a configuration. */
 import { z } from 'zod'
 import { failure, success } from '../../kernel/index.js'
 import type { Result, Sheet } from '../../types/index.js'
@@ -37,7 +37,7 @@
   ]))
 })
 
-/** A record together with the list of the sheet that it belongs to. */
+/** A record with the name of the sheet's list to which it belongs. */
 export type ChunkRecord = { readonly [List in keyof Sheet]: readonly [List, Sheet[List][number]] }[keyof Sheet]
 
 export type ChunkError = { readonly kind: 'unreadableChunk', readonly message: string }
@@ -45,11 +45,11 @@
 /**
  * Decodes a chunk.
  *
- * A chunk of a later format is refused whole: a node that understood only a
- * part of the records would serve something that no operator asked for.
+ * A chunk of a later format is rejected as a whole: a node that understood only
+ * some of the records would apply a configuration that no operator requested.
  *
- * @param bytes - Content of a chunk whose hash was checked.
- * @returns Its records, or why it cannot be read.
+ * @param bytes - Content of a chunk whose hash has been verified.
+ * @returns Its records, or the reason why it cannot be decoded.
  *
  * @example
  * decodeChunk(new TextEncoder().encode('{"format":1,"records":[]}')) // => { ok: true, value: [] }
--- a/src/decisions/decodeRoot/index.ts
+++ b/src/decisions/decodeRoot/index.ts
@@ -1,4 +1,4 @@
-/** Reading of the root object, which names a generation's chunks. */
+/** Decodes the root object, which lists the chunks of a configuration generation. */
 import { z } from 'zod'
 import { failure, success } from '../../kernel/index.js'
 import type { ConfigurationRoot, Result } from '../../types/index.js'
@@ -21,10 +21,10 @@
 export type RootError = { readonly kind: 'unreadableRoot', readonly message: string }
 
 /**
- * Decodes a root.
+ * Decodes a root object.
  *
  * @param bytes - Content of `configuration/root`, from the platform or a peer.
- * @returns The root, or why it cannot be read.
+ * @returns The root, or the reason why it cannot be decoded.
  *
  * @example
  * decodeRoot(new Uint8Array()) // => { ok: false, error: { kind: 'unreadableRoot', ... } }
--- a/src/decisions/describeRefusal/index.ts
+++ b/src/decisions/describeRefusal/index.ts
@@ -1,4 +1,4 @@
-/** Builds refusals with the status that belongs to their reason. */
+/** Creates refusals with the HTTP status of their reason. */
 import type { Refusal, RefusalOutcome, RefusalReason } from '../../types/index.js'
 
 const statuses: { readonly [Reason in RefusalReason]: number } = {
@@ -22,12 +22,12 @@
 }
 
 /**
- * Describes why a request has no complete answer.
+ * Creates the refusal of a request that gets no complete answer.
  *
- * @param outcome - `not-run` only when every attempt surely did not run.
- * @param reason - What kept the request from its answer.
- * @param message - A sentence for the person behind the caller.
- * @param retryAfterMs - When to come back, in milliseconds; left out when coming back does not help.
+ * @param outcome - `not-run` only when it is certain that no attempt ran.
+ * @param reason - Why the request has no complete answer.
+ * @param message - A human-readable description for the caller.
+ * @param retryAfterMs - Delay before a retry in milliseconds; omitted when a retry does not help.
  * @returns The refusal, with its HTTP status.
  *
  * @example
--- a/src/decisions/describeSourceError/index.ts
+++ b/src/decisions/describeSourceError/index.ts
@@ -1,10 +1,10 @@
 import type { SourceError } from '../../types/index.js'
 
 /**
- * Says in a few words why a source could not be read.
+ * Describes briefly why a source could not be read.
  *
  * @param error - The source's error.
- * @returns Its message, or its kind where that says all.
+ * @returns Its message, or its kind where it has no message.
  *
  * @example
  * describeSourceError({ kind: 'notFound' }) // => 'notFound'
--- a/src/decisions/describeSourceError/test.ts
+++ b/src/decisions/describeSourceError/test.ts
@@ -2,6 +2,6 @@
 import { describeSourceError } from './index.js'
 
 describe('describeSourceError', () => {
-  test('gives the message', () => expect(describeSourceError({ kind: 'unavailable', message: 'status 503' })).toBe('status 503'))
-  test('gives the kind where there is no message', () => expect(describeSourceError({ kind: 'historyGone' })).toBe('historyGone'))
+  test('returns the message', () => expect(describeSourceError({ kind: 'unavailable', message: 'status 503' })).toBe('status 503'))
+  test('returns the kind where there is no message', () => expect(describeSourceError({ kind: 'historyGone' })).toBe('historyGone'))
 })
--- a/src/decisions/editPlannedStop/index.ts
+++ b/src/decisions/editPlannedStop/index.ts
@@ -1,4 +1,4 @@
-/** Adding and removing the planned stop of one backend server. */
+/** Adds and removes the planned stop of one backend server. */
 import { failure, success } from '../../kernel/index.js'
 import type { PlannedStop, Result, Sheet } from '../../types/index.js'
 
@@ -14,15 +14,15 @@
 const NAME_PREFIX = 'drain-'
 
 /**
- * Changes the planned stop that a drain stands for.
+ * Starts or cancels a drain by changing the planned stops of a sheet.
  *
- * A drain has one planned stop, named after its backend server, so that a
- * second drain of the same server replaces the first. Stops of other names
- * come from the planners' sheet and are left alone.
+ * A drain is one planned stop, named after its backend server, so that a
+ * second drain of the same server replaces the first. Planned stops with other
+ * names come from the operator's sheet file and are not changed.
  *
  * @param sheet - The sheet in force.
- * @param edit - What to start or cancel; times in milliseconds since 1970.
- * @returns The changed sheet, or why it cannot be changed.
+ * @param edit - The drain to start or cancel; times in milliseconds since 1970.
+ * @returns The changed sheet, or the reason why it cannot be changed.
  *
  * @example
  * editPlannedStop(sheet, { kind: 'start', backendServer: 'model-1', startsAt: 0 })
@@ -33,7 +33,7 @@
   return handlers[edit.kind](sheet, edit as never)
 }
 
-/** Whether a planned stop was made by a drain, not by the planners' sheet. */
+/** Tells from its name whether a planned stop was created by a drain rather than by the operator's sheet file. */
 export const isDrain = (name: string): boolean => name.startsWith(NAME_PREFIX)
 
 const nameDrain = (backendServer: string): string => `${NAME_PREFIX}${backendServer}`
@@ -50,7 +50,7 @@
   const plannedStops = withoutDrain(sheet, backendServer)
   if (plannedStops.length < sheet.plannedStops.length) return success({ ...sheet, plannedStops })
   const others = plannedStops.filter((stop) => stop.backendServer === backendServer).map(({ name }) => name)
-  const hint = others.length === 0 ? '' : `; the sheet plans ${others.join(', ')}, which a new sheet must take out`
+  const hint = others.length === 0 ? '' : `; the sheet has planned stops ${others.join(', ')}, which can only be removed by applying a new sheet`
   return failure({ kind: 'noDrain', message: `backend server "${backendServer}" has no drain to cancel${hint}` })
 }
 
--- a/src/decisions/encodeRoot/index.ts
+++ b/src/decisions/encodeRoot/index.ts
@@ -1,11 +1,11 @@
-/** Writing of the root object, which names a generation's chunks. */
+/** Encodes the root object, which lists the chunks of a configuration generation. */
 import type { ConfigurationRoot } from '../../types/index.js'
 
 /**
- * Encodes a root as JSON.
+ * Encodes a root object as JSON.
  *
- * @param root - The root to write.
- * @returns Bytes for the object `configuration/root`.
+ * @param root - The root to encode.
+ * @returns The content of the object `configuration/root`.
  *
  * @example
  * decodeRoot(encodeRoot(root)) // => { ok: true, value: root }
--- a/src/decisions/estimateDuration/index.ts
+++ b/src/decisions/estimateDuration/index.ts
@@ -1,25 +1,25 @@
-/** How long a request will take, for a node that is about to stop. */
+/** Estimates how long a request takes, for a node that is shutting down. */
 import type { GatewayRoute } from '../../types/index.js'
 
 export type DurationQuestion = {
   readonly route: Pick<GatewayRoute, 'repeatPolicy' | 'timeoutMs' | 'goalMs'>
-  /** Most tokens that the answer may have. */
+  /** Maximum number of tokens of the answer. */
   readonly outputTokens: number
-  /** Milliseconds between two tokens, as lately seen. */
+  /** Time between two tokens in milliseconds, as recently observed. */
   readonly tokenMs: number
 }
 
-/** Before any stream was seen: the step of a well-filled engine, with room. */
+/** Default until a stream has been observed: the time between two tokens of a heavily loaded model engine, with a margin. */
 export const USUAL_TOKEN_MS = 10
 
-/** An engine that fills up makes tokens about half as fast, and the slow streams have not ended yet. */
+/** Safety factor: a model engine under rising load generates tokens about half as fast, and its slow streams have not ended yet. */
 const PACE_ROOM = 1.9
 
 /**
- * Estimates how long a request will take, rather too long than too short.
+ * Estimates how long a request takes, erring on the long side.
  *
- * @param question - The route, and the size of a stream.
- * @returns Milliseconds to the end of the answer.
+ * @param question - The route, and the size and speed of a stream.
+ * @returns The time to the end of the answer in milliseconds.
  *
  * @example
  * estimateDuration({ route: { repeatPolicy: 'safe', timeoutMs: 800, goalMs: 300 }, outputTokens: 0, tokenMs: 10 }) // => 800
--- a/src/decisions/estimateDuration/test.ts
+++ b/src/decisions/estimateDuration/test.ts
@@ -6,11 +6,12 @@
 describe('estimateDuration', () => {
   test('grows with the tokens of a stream', () => expect(estimateDuration({ route, outputTokens: 300, tokenMs: 10 })).toBe(6_900))
 
-  // A stream taken late in a stop, on an engine a little slower than any seen lately, was cut by the node's end.
-  test.each([12, 14, 18])('covers a stream of %i ms a token where the slowest that ended took 10', (tokenMs) => {
+  // A stream that is accepted late in the shutdown is cut when the node exits, if its
+  // model engine is slower than those observed recently and the estimate has no margin.
+  test.each([12, 14, 18])('covers a stream with %i ms per token when the slowest completed stream had 10 ms', (tokenMs) => {
     expect(estimateDuration({ route, outputTokens: 300, tokenMs: 10 })).toBeGreaterThan(route.goalMs + 300 * tokenMs)
   })
 
   test('is at most the route\'s timeout', () => expect(estimateDuration({ route, outputTokens: 30_000, tokenMs: 10 })).toBe(15_000))
-  test('is the timeout for answers that are no streams', () => expect(estimateDuration({ route: { ...route, repeatPolicy: 'unsafe', timeoutMs: 800 }, outputTokens: 0, tokenMs: 10 })).toBe(800))
+  test('is the timeout for answers that are not streams', () => expect(estimateDuration({ route: { ...route, repeatPolicy: 'unsafe', timeoutMs: 800 }, outputTokens: 0, tokenMs: 10 })).toBe(800))
 })
--- a/src/decisions/explainRequest/index.ts
+++ b/src/decisions/explainRequest/index.ts
@@ -1,4 +1,4 @@
-/** The story of one request out of the logs of several nodes. */
+/** Reconstructs the timeline of one request from the logs of several nodes. */
 
 /** One log line: its event, its node, its wall time in milliseconds, and all its fields. */
 export type LogRecord = {
@@ -9,29 +9,29 @@
 }
 
 export type RequestStory = {
-  /** What happened to the request, in the order of time. */
+  /** The log records of the request in chronological order. */
   readonly steps: readonly LogRecord[]
-  /** What its nodes came to believe shortly before and while it was open. */
+  /** State changes that its nodes logged shortly before the request and while it was open. */
   readonly beliefs: readonly LogRecord[]
 }
 
-/** Beliefs from so long before a request are listed: a configuration or a held server is decided on for a few seconds. */
+/** State changes up to this long before a request are listed: a configuration or the suspension of a server affects requests for a few seconds. */
 const BEFORE_MS = 5_000
 
 const isBelief = ({ fields }: LogRecord): boolean => fields.requestId === undefined
 
-/** Whether a belief bears on the steps: on one of their backend servers, or on what all requests rest on. */
+/** Tells whether a state change affects the request: it concerns one of its backend servers, or no particular server. */
 const concerns = (belief: LogRecord, servers: ReadonlySet<unknown>): boolean => {
   const server = belief.fields.backendServer
   return server === undefined || servers.has(server)
 }
 
 /**
- * Explains a request.
+ * Collects the log records that explain the outcome of a request.
  *
- * @param records - The lines of all nodes, in any order.
- * @param requestId - The request's id.
- * @returns Its steps, and the beliefs of the nodes that had it; both empty for an id that the lines don't have.
+ * @param records - The log records of all nodes, in any order.
+ * @param requestId - The id of the request.
+ * @returns Its steps, and the state changes of the nodes that handled it; both empty for an unknown id.
  *
  * @example
  * explainRequest([], 'r1') // => { steps: [], beliefs: [] }
--- a/src/decisions/findForwardTargets/index.ts
+++ b/src/decisions/findForwardTargets/index.ts
@@ -1,17 +1,17 @@
 /**
- * The tree over which one router's news reaches all routers of its zone, while
- * each router sends only a few copies.
+ * Builds the broadcast tree over which an update of one router reaches all
+ * routers of its zone, while each router sends only a few copies.
  */
 
 /**
- * Finds to whom a router passes news on.
+ * Selects the routers to which a router forwards an update.
  *
- * The ranked routers form a tree by their places: the first is the root, and
- * the children of place `n` are the `fanOut` places after `n * fanOut`.
+ * The ranked routers form a tree by their index: the first is the root, and the
+ * children of index `n` are the `fanOut` indexes after `n * fanOut`.
  *
- * @param ranked - All routers of the zone, in the same order everywhere.
+ * @param ranked - All routers of the zone, in the same order on every node.
  * @param self - This router, one of `ranked`.
- * @param fanOut - Copies that a router sends at most.
+ * @param fanOut - Maximum number of copies that a router sends.
  * @returns The routers to send to; none when this one is a leaf or is not ranked.
  *
  * @example
--- a/src/decisions/findForwardTargets/test.ts
+++ b/src/decisions/findForwardTargets/test.ts
@@ -8,7 +8,7 @@
     expect([ranked[0], ...reached].sort((one, other) => one! - other!)).toEqual(ranked)
   })
 
-  it('gives nothing to forward to a router that is not ranked', () => {
+  it('returns no targets for a router that is not ranked', () => {
     expect(findForwardTargets(['a', 'b'], 'c', 2)).toEqual([])
   })
 })
--- a/src/decisions/findOverShare/index.ts
+++ b/src/decisions/findOverShare/index.ts
@@ -1,20 +1,19 @@
-/** Whose waiting request is refused when the queue is full. */
+/** Selects the client account whose queued request is rejected when the queue is full. */
 import { measureUse } from '../shareFairly/index.js'
 import type { Contender } from '../shareFairly/index.js'
 
-/** An account that waits, with what it has in the queue. */
+/** An account with waiting requests and their size. */
 export type QueuedContender = Contender & {
-  /** Its work in the queue, in tokens. */
+  /** Size of its queued requests, in tokens. */
   readonly queuedTokens: number
 }
 
 /**
- * Finds the account that is furthest over its share, work done and work
- * waiting taken together. Counting what waits means that a surge that has not
- * been served yet is seen as well.
+ * Selects the account that is furthest over its fair share. Usage and queued
+ * work both count, so that a burst that has not been served yet is included.
  *
- * @param contenders - Accounts with waiting requests, the newcomer included.
- * @returns The account to refuse; `undefined` when there are none.
+ * @param contenders - Accounts with waiting requests, including that of the new request.
+ * @returns The account whose request is rejected; `undefined` when there are no accounts.
  *
  * @example
  * findOverShare([
--- a/src/decisions/foldClaims/index.ts
+++ b/src/decisions/foldClaims/index.ts
@@ -1,24 +1,25 @@
 /**
- * The claim log's meaning. A shard of the log is a sequence of batches that
- * every node folds in the same order to the same records, so whoever sees a
- * record with its own claim id in it knows that no other node sees another.
+ * Folds the claim log into claim records. A shard of the log is a sequence of
+ * batches that every node folds in the same order into the same records. A node
+ * that finds its own claim id in a record therefore knows that all nodes see the
+ * same holder.
  */
 import type { StoredAnswer } from '../../types/index.js'
 
-/** A request to be the one sender of a key. */
+/** Requests the exclusive right to send the request of an idempotency key. */
 export type ClaimRequestEntry = {
   readonly kind: 'claim'
   readonly keyId: string
-  /** Unique to one attempt, so a repeated entry is told from a rival one. */
+  /** Unique to one attempt, which distinguishes a duplicate entry from a competing claim. */
   readonly claimId: string
   readonly bodyHash: string
   readonly holder: string
 }
 
-/** The claimant's statement that it did not send and never will send under this claim id. */
+/** States that the claimant has not sent and never will send the request under this claim id. */
 export type ClaimReleaseEntry = { readonly kind: 'release', readonly keyId: string, readonly claimId: string }
 
-/** The final answer of a claimed request; absent when it was too large to keep. */
+/** Completes a claim with its final answer, which is absent when it was too large to store. */
 export type ClaimCompletionEntry = {
   readonly kind: 'completion'
   readonly keyId: string
@@ -29,11 +30,11 @@
 export type ClaimEntry = ClaimRequestEntry | ClaimReleaseEntry | ClaimCompletionEntry
 
 export type ClaimBatch = {
-  /** Unique to one batch, so a writer recognises its own after a lost reply. */
+  /** Unique to one batch, so that a writer recognises its own batch after a lost reply. */
   readonly batchId: string
-  /** Wall-clock milliseconds since 1970, of the writer. */
+  /** Wall-clock time of the writer in milliseconds since 1970. */
   readonly writtenAt: number
-  /** Claims that were written before this wall-clock time are forgotten. */
+  /** Claims that were written before this wall-clock time have expired. */
   readonly forgetBefore: number
   readonly entries: readonly ClaimEntry[]
 }
@@ -47,15 +48,15 @@
   readonly answer?: StoredAnswer | undefined
 }
 
-/** What the log said so far. */
+/** The state of a shard after all batches so far. */
 export type ClaimState = {
   readonly forgetBefore: number
   readonly records: ReadonlyMap<string, ClaimRecord>
-  /** Claim ids that their claimants gave up, with the time at which that was written. */
+  /** Released claim ids, with the time at which the release was written. */
   readonly releases: ReadonlyMap<string, number>
 }
 
-/** What one batch changes; a record that is `undefined` is deleted. */
+/** The changes of one batch; a record that is `undefined` is deleted. */
 export type ClaimChanges = {
   readonly forgetBefore: number
   readonly records: ReadonlyMap<string, ClaimRecord | undefined>
@@ -74,12 +75,12 @@
 /**
  * Folds one batch into the state of its shard.
  *
- * The first claim of a key holds it; later ones change nothing. A release
- * voids its claim id for good, whichever of the two is written first: a claim
- * whose reply was lost may still reach the log after its claimant gave it up,
+ * The first claim of a key holds it; later ones have no effect. A release
+ * voids its claim id permanently, even when it is written before the claim: a
+ * claim whose reply was lost may reach the log after its claimant released it,
  * and would otherwise block the key for the whole retention.
  *
- * @param state - The fold of all earlier batches; it is not changed.
+ * @param state - The state after all earlier batches; it is not modified.
  * @param batch - The next batch of the same shard.
  * @returns The changes to apply to `state`; times are wall-clock milliseconds since 1970.
  *
--- a/src/decisions/foldClaims/test.ts
+++ b/src/decisions/foldClaims/test.ts
@@ -31,11 +31,11 @@
     ['gives a released key to the next claim', [createClaim('a'), createRelease('a'), createClaim('b')], 'b', 'open'],
     ['ignores the release of a claim that holds nothing', [createClaim('a'), createClaim('b'), createRelease('b')], 'a', 'open'],
     ['voids a claim that arrives after its release', [createRelease('a'), createClaim('a'), createClaim('b')], 'b', 'open'],
-    ['voids the second copy of a released claim', [createClaim('a'), createRelease('a'), createClaim('a')], undefined, undefined],
-    ['ignores a second copy of the holding claim', [createClaim('a'), createCompletion('a'), createClaim('a')], 'a', 'complete'],
+    ['voids a duplicate of a released claim', [createClaim('a'), createRelease('a'), createClaim('a')], undefined, undefined],
+    ['ignores a duplicate of the holding claim', [createClaim('a'), createCompletion('a'), createClaim('a')], 'a', 'complete'],
     ['ignores the completion of a claim that holds nothing', [createClaim('a'), createCompletion('b')], 'a', 'open'],
-    ['keeps a completed key from later claims', [createClaim('a'), createCompletion('a'), createClaim('b')], 'a', 'complete'],
-    ['keeps a completed key from a release', [createClaim('a'), createCompletion('a'), createRelease('a'), createClaim('b')], 'a', 'complete']
+    ['keeps a completed key despite later claims', [createClaim('a'), createCompletion('a'), createClaim('b')], 'a', 'complete'],
+    ['keeps a completed key despite a release', [createClaim('a'), createCompletion('a'), createRelease('a'), createClaim('b')], 'a', 'complete']
   ])('%s', (_story, entries, holder, state) => {
     const inOneBatch = foldAll([createBatch(entries)])
     const inManyBatches = foldAll(entries.map((entry) => createBatch([entry])))
@@ -44,19 +44,19 @@
     expect(inOneBatch?.state).toBe(state)
   })
 
-  it('keeps a claim up to the edge of the retention', () => {
+  it('keeps a claim until the end of the retention', () => {
     expect(foldAll([createBatch([createClaim('a')], 100), createBatch([createClaim('b')], 200, 100)])?.claimId).toBe('a')
   })
 
-  it('forgets a claim past the retention', () => {
+  it('drops a claim after the retention', () => {
     expect(foldAll([createBatch([createClaim('a')], 100), createBatch([createClaim('b')], 200, 101)])?.claimId).toBe('b')
   })
 
-  it('takes no claim from a batch that is itself past the retention', () => {
+  it('ignores a claim in a batch that is itself past the retention', () => {
     expect(foldAll([createBatch([], 200, 101), createBatch([createClaim('a')], 100)])).toBeUndefined()
   })
 
-  it('does not let a slow clock bring back what was forgotten', () => {
+  it('does not restore an expired claim when the clock of a writer is behind', () => {
     const batches = [createBatch([createClaim('a')], 100), createBatch([], 200, 101), createBatch([createClaim('b')], 150, 50)]
     expect(foldAll(batches)?.claimId).toBe('b')
   })
--- a/src/decisions/formatInstanceKey/index.ts
+++ b/src/decisions/formatInstanceKey/index.ts
@@ -1,10 +1,10 @@
 import type { BackendInstance } from '../../types/index.js'
 
-/** Placement asks for the key of every server of a service for each request. */
+/** Cache, since placement needs the keys of all servers of a service for each request. */
 const keys = new WeakMap<object, string>()
 
 /**
- * Names one start of a backend server: its memory and its counts begin anew with the next.
+ * Formats the key of one instance, which is one run of a backend server: a restart empties its prompt cache and resets its counters.
  *
  * @param instance - The backend server.
  * @returns `id@incarnation`.
--- a/src/decisions/grantRepeat/index.ts
+++ b/src/decisions/grantRepeat/index.ts
@@ -1,10 +1,10 @@
 /**
- * The fleet's retry budget, one node's share of it. A failing service must not
- * be drowned in repeats: over a sliding window, what arrives beyond the first
- * send of each request stays under a ratio of the requests plus a constant.
- * Each node spends the ratio of its own requests and an equal part of the
- * constant, so no node needs an answer from another before it repeats, and
- * none spends what a silent one may be spending.
+ * Decides whether a retry fits this node's share of the fleet's retry budget,
+ * which protects a failing service from a burst of retries. Over a sliding window
+ * the retries of the fleet stay under a ratio of its requests plus a constant.
+ * Each node may use the ratio of its own requests and an equal share of the
+ * constant. So no node has to ask another before a retry, and none uses the share
+ * of a node that does not respond but may still be running.
  */
 import { trimTimes } from '../_lib/trimTimes.js'
 
@@ -15,24 +15,24 @@
 }
 
 export type RepeatBudgetLimits = {
-  /** Repeats per request. */
+  /** Retries per request. */
   readonly ratio: number
-  /** Repeats of the whole fleet in a window beyond the ratio. */
+  /** Retries of the whole fleet in a window in addition to the ratio. */
   readonly extra: number
   readonly windowMs: number
 }
 
-/** Part of the budget that is used: a request near a window's edge may be counted in one window and its repeat in the next. */
+/** Share of the budget that is used. The margin covers requests near the edge of a window, which may count in one window and their retry in the next. */
 const USED_SHARE = 0.85
 
 /**
- * Says whether one more repeat fits the budget.
+ * Decides whether one more retry fits the budget.
  *
- * @param budget - What was sent lately.
+ * @param budget - Requests and retries sent within the window.
  * @param limits - The fleet's limits.
- * @param nodes - Nodes that may be spending, the unheard ones included; at least 1.
+ * @param nodes - Nodes that may use the budget, including those that do not respond; at least 1.
  * @param now - Monotonic milliseconds.
- * @returns Whether the repeat may be sent.
+ * @returns Whether the retry may be sent.
  *
  * @example
  * grantRepeat({ requests: [], repeats: [] }, { ratio: 0.2, extra: 50, windowMs: 10_000 }, 5, 0) // => true
--- a/src/decisions/grantRepeat/test.ts
+++ b/src/decisions/grantRepeat/test.ts
@@ -8,22 +8,22 @@
 const empty: RepeatBudget = { requests: [], repeats: [] }
 
 describe('grantRepeat', () => {
-  test('grants a repeat where nothing was sent', () => expect(grantRepeat(empty, limits, 5, 0)).toBe(true))
+  test('grants a retry when nothing has been sent', () => expect(grantRepeat(empty, limits, 5, 0)).toBe(true))
 
-  test('divides the constant among the nodes', () => {
+  test('divides the constant equally among the nodes', () => {
     const spent = Array.from({ length: 8 }).reduce<RepeatBudget>((budget) => noteSend(budget, 'repeat', limits, 0), empty)
     expect(grantRepeat(spent, limits, 1, 0)).toBe(true)
     expect(grantRepeat(spent, limits, 6, 0)).toBe(false)
   })
 
-  test('forgets what left the window', () => {
+  test('ignores what was sent before the window', () => {
     const spent = Array.from({ length: 50 }).reduce<RepeatBudget>((budget) => noteSend(budget, 'repeat', limits, 0), empty)
     expect(grantRepeat(spent, limits, 1, 9_999)).toBe(false)
     expect(grantRepeat(spent, limits, 1, 10_001)).toBe(true)
   })
 
-  // A service that fails for all would get more repeats than the fleet's budget.
-  test('keeps the fleet under its budget in every window, whatever comes when', () => {
+  // Guards against a service that fails for all nodes receiving more retries than the budget of the fleet.
+  test('keeps the fleet within its budget in every window for any sequence of requests', () => {
     const send = fc.record({ node: fc.integer({ min: 0, max: 5 }), gapMs: fc.integer({ min: 0, max: 400 }), wantsRepeats: fc.integer({ min: 0, max: 3 }) })
     fc.assert(fc.property(fc.array(send, { maxLength: 300 }), (sends) => {
       const budgets = new Map<number, RepeatBudget>()
--- a/src/decisions/indexRoutes/index.ts
+++ b/src/decisions/indexRoutes/index.ts
@@ -1,7 +1,7 @@
 import type { GatewayRoute } from '../../types/index.js'
 
 /**
- * Sorts routes by host so that one request looks only at its host's routes.
+ * Groups routes by host, so that a request is only matched against the routes of its host.
  *
  * @param routes - All routes of a configuration.
  * @returns The routes by lower-case host, the longest prefix first.
--- a/src/decisions/indexRoutes/test.ts
+++ b/src/decisions/indexRoutes/test.ts
@@ -1,4 +1,4 @@
 import { expect, test } from 'vitest'
 import { indexRoutes } from './index.js'
 
-test('indexRoutes keeps nothing of no routes', () => expect(indexRoutes([]).size).toBe(0))
+test('indexRoutes returns an empty index for no routes', () => expect(indexRoutes([]).size).toBe(0))
--- a/src/decisions/isMoveDue/index.ts
+++ b/src/decisions/isMoveDue/index.ts
@@ -1,35 +1,36 @@
 /**
- * When a request that may be repeated is taken away from a silent backend
- * server: soon when the whole server is silent, late when only this request is.
+ * Decides when a retryable request is moved from a backend server that does not
+ * respond to another one: soon when the server responds to no request, later when
+ * only this request gets no response.
  */
 
 export type Silence = {
-  /** Whether a part of the answer has come. */
+  /** Whether a part of the answer has arrived. */
   readonly hasBegun: boolean
   /** Milliseconds since the last bytes of this answer, or since it was sent. */
   readonly waitedMs: number
-  /** Milliseconds since any bytes came from the server. */
+  /** Milliseconds since the last bytes of any answer from the server. */
   readonly instanceSilentMs: number
   readonly goalMs: number
   readonly pauseGoalMs: number
-  /** Usual time to the first bytes on this route, once known. */
+  /** Usual time to first byte on this route in milliseconds; `undefined` until it is known. */
   readonly usualMs: number | undefined
 }
 
-/** A lost packet is repeated after 200 to 300 ms: a server silent for less may be well. */
+/** A lost packet is retransmitted after 200 to 300 ms, so a server that does not respond for less may be healthy. */
 const SHORTEST_SILENCE_MS = 400
-/** Multiple of the usual time to the first bytes after which a silent server is given up on. */
+/** Multiple of the usual time to first byte after which a request leaves a server that responds to no request. */
 const USUAL_TIMES = 3
-/** Multiple of the goal after which a request is given up on that waits alone. */
+/** Multiple of the target time to first byte after which a request moves although its server responds to others. */
 const GOAL_TIMES_ALONE = 1.5
-/** Multiple of the longest pause on time; callers leave a stream after eight. */
+/** Multiple of the target pause between bytes after which a stream moves; callers abandon a stream after eight. */
 const PAUSE_TIMES_ALONE = 5
 
 /**
- * Says whether to try another server.
+ * Decides whether to move a request to another server.
  *
- * @param silence - Who has been silent for how long.
- * @returns Whether the silence is too long.
+ * @param silence - How long the request and its server have been without a response, and the targets.
+ * @returns Whether the request should move.
  *
  * @example
  * isMoveDue({ hasBegun: false, waitedMs: 100, instanceSilentMs: 100, goalMs: 300, pauseGoalMs: 0, usualMs: 60 }) // => false
--- a/src/decisions/isZoneWatcher/index.ts
+++ b/src/decisions/isZoneWatcher/index.ts
@@ -1,18 +1,19 @@
-/** Whether a node is one of those of its zone that hold a watch at the platform. */
+/** Decides whether a node is one of the watchers of its zone, which hold a watch on the platform's store. */
 import { selectZoneReaders } from '../selectZoneReaders/index.js'
 import type { Member } from '../../types/index.js'
 
 /**
  * Decides whether a node is one of its zone's watchers.
  *
- * A waiting watch counts as a call at the platform, whose rates grow more
- * slowly than the fleet; a few watchers a zone tell the rest by heartbeat.
- * The first nodes by id watch. While nodes disagree about who is live there
- * are a few watchers more or fewer, which costs calls or seconds, nothing else.
+ * A pending watch counts as a call to the platform, whose rate limits grow more
+ * slowly than the fleet. A few watchers per zone therefore notify the other nodes
+ * by heartbeat. The nodes with the lowest ids watch. While nodes disagree about
+ * which of them are live, there may be a few watchers more or fewer, which only
+ * costs additional calls or a delay of seconds.
  *
- * @param self - Id and zone of the deciding node.
- * @param peers - The other members it knows.
- * @param watchersPerZone - How many nodes of a zone should watch.
+ * @param self - Id and zone of this node.
+ * @param peers - The other members in its view.
+ * @param watchersPerZone - Number of nodes of a zone that should watch.
  * @returns Whether the node should watch.
  *
  * @example
--- a/src/decisions/joinChunksToSheet/index.ts
+++ b/src/decisions/joinChunksToSheet/index.ts
@@ -1,10 +1,10 @@
-/** Joining of decoded chunks to the sheet that they were split from. */
+/** Joins decoded chunks into the sheet from which they were split. */
 import { canonicalizeSheet } from '../canonicalizeSheet/index.js'
 import type { ChunkRecord } from '../decodeChunk/index.js'
 import type { Sheet } from '../../types/index.js'
 
 /**
- * Joins the records of all chunks to a sheet in canonical form.
+ * Joins the records of all chunks into a sheet in canonical form.
  *
  * @param chunks - The decoded chunks, in any order.
  * @returns The sheet.
--- a/src/decisions/judgeInstance/index.ts
+++ b/src/decisions/judgeInstance/index.ts
@@ -1,13 +1,14 @@
 /**
- * Whether a backend server may get a request now, whatever it would cost there.
- * Asked before every send: first ones, repeats, and streams that go on elsewhere.
+ * Checks whether a backend server is eligible for a request now, regardless of
+ * its load. Runs before every send: first attempts, retries, and streams that
+ * continue on another server.
  */
 
 export type InstanceStanding = {
-  /** Region of its availability zone; `undefined` where that is not known. */
+  /** Region of its availability zone; `undefined` when it is not known. */
   readonly region: string | undefined
   readonly isZoneDrained: boolean
-  /** Whether it warms up and this node has no part of its rate left. */
+  /** Whether it is warming up and this node has used up its share of the warm-up rate. */
   readonly isAtWarmUpRate: boolean
 }
 
@@ -17,11 +18,11 @@
   allowed.length === 0 || (region !== undefined && allowed.includes(region))
 
 /**
- * Judges one backend server for one request.
+ * Checks one backend server for one request.
  *
- * @param standing - What is known of the server.
- * @param allowedRegions - Lists of regions that bind the request, each for itself; an empty one binds nothing.
- * @returns `open`, or why it may not get the request.
+ * @param standing - The status of the server.
+ * @param allowedRegions - Lists of allowed regions; the server's region must be in each of them. An empty list allows all regions.
+ * @returns `open`, or the reason why the server may not get the request.
  *
  * @example
  * judgeInstance({ region: 'north', isZoneDrained: true, isAtWarmUpRate: false }, []) // => 'zoneDrained'
--- a/src/decisions/judgeRollout/index.ts
+++ b/src/decisions/judgeRollout/index.ts
@@ -1,11 +1,11 @@
 /**
- * Where a generation is in force, as far as anybody can tell: from what the
- * routers say of themselves, and for those that could not be asked, from what
- * the others last heard of them.
+ * Evaluates the rollout of a configuration generation: on which nodes it is in
+ * force, according to the status of the routers that answered and, for the
+ * others, the last state that their peers received from them.
  */
 import type { Member, Vm } from '../../types/index.js'
 
-/** The part of a router's status that counts here. */
+/** The part of a router's status that the rollout depends on. */
 export type RouterReport = {
   readonly nodeId: string
   readonly availabilityZone: string
@@ -19,9 +19,9 @@
   | { readonly kind: 'unreachable', readonly url: string, readonly message: string }
 
 /**
- * `reported` and `gone` need nothing more: peers heard the generation from the
- * node itself, or the platform no longer lists the VM of a node that all count
- * as dead.
+ * `reported` and `gone` count as confirmed: peers received the generation from
+ * the node itself, or all peers consider the node dead and the platform no
+ * longer lists its VM.
  */
 export type NodeRolloutState = 'inForce' | 'reported' | 'behind' | 'unconfirmed' | 'gone'
 
@@ -29,25 +29,25 @@
   readonly node: string
   readonly availabilityZone: string
   readonly state: NodeRolloutState
-  /** Last generation known there; absent when nobody knows. */
+  /** Last known generation of the node; absent when no router knows it. */
   readonly generation?: number
   readonly detail: string
 }
 
 export type Rollout = {
   readonly generation: number
-  /** Whether every node that may be running has the generation. Never true without a node. */
+  /** Whether every node that may be running has the generation. Always false when no router answered. */
   readonly isInForceEverywhere: boolean
   readonly nodes: readonly NodeRollout[]
 }
 
 /**
- * Judges how far a generation has come.
+ * Evaluates the state of a generation on each node.
  *
  * @param generation - The generation that should be in force.
- * @param answers - What each router that was asked said.
- * @param vms - The platform's VM list, when it could be read; it lags, so that it only ever adds nodes to look for or confirms that a dead one is gone.
- * @returns One line a node, and whether all of them are confirmed.
+ * @param answers - The answer of each queried router.
+ * @param vms - The platform's VM list, if it could be read. It lags, so it is only used to find further nodes and to confirm that a dead node is gone.
+ * @returns One entry per node, and whether all of them are confirmed.
  *
  * @example
  * judgeRollout(3, [], undefined) // => { generation: 3, isInForceEverywhere: false, nodes: [] }
@@ -68,17 +68,17 @@
 
 const judgeReport = (generation: number, { nodeId: node, availabilityZone, generation: current, pending }: RouterReport): NodeRollout => {
   if (current >= generation) return { node, availabilityZone, state: 'inForce', generation: current, detail: pending === undefined ? '' : pending.reason }
-  const detail = pending === undefined ? 'has not heard of it' : pending.reason
+  const detail = pending === undefined ? 'has not received it' : pending.reason
   return { node, availabilityZone, state: 'behind', generation: current, detail }
 }
 
 const memberJudges: Readonly<Record<Member['state'], (generation: number, member: Member, vms: readonly Vm[] | undefined) => Pick<NodeRollout, 'state' | 'detail'>>> = {
-  live: (generation, member) => judgeHeard(generation, member, 'not asked; live to its peers'),
-  leaving: (generation, member) => judgeHeard(generation, member, 'not asked; leaving'),
-  suspect: () => ({ state: 'unconfirmed', detail: 'unreachable: its peers suspect that it is down or cut off' }),
+  live: (generation, member) => judgeHeard(generation, member, 'not queried; live according to its peers'),
+  leaving: (generation, member) => judgeHeard(generation, member, 'not queried; leaving'),
+  suspect: () => ({ state: 'unconfirmed', detail: 'unreachable: its peers suspect that it is down or partitioned' }),
   dead: (_, member, vms) => {
-    if (vms !== undefined && !vms.some((vm) => isVmOf(vm, member))) return { state: 'gone', detail: 'dead to its peers and no longer in the VM list' }
-    return { state: 'unconfirmed', detail: 'unreachable: dead to its peers; it may be down or in a zone that is cut off' }
+    if (vms !== undefined && !vms.some((vm) => isVmOf(vm, member))) return { state: 'gone', detail: 'dead according to its peers and no longer in the VM list' }
+    return { state: 'unconfirmed', detail: 'unreachable: dead according to its peers; it may be down or in a partitioned zone' }
   }
 }
 
@@ -90,7 +90,7 @@
 
 const isVmOf = (vm: Vm, { address }: Member): boolean => vm.kind === 'router' && vm.address === `${address.host}:${address.port}`
 
-/** Routers in the VM list that no router knows: just started, or cut off since before the others started. */
+/** Lists routers of the VM list that no router knows: just started, or partitioned since before the others started. */
 const judgeUnknownVms = (vms: readonly Vm[], reports: readonly RouterReport[]): readonly NodeRollout[] => {
   if (reports.length === 0) return []
   const known = reports.flatMap(({ members }) => members)
@@ -99,14 +99,14 @@
     .map((vm) => ({ node: vm.name, availabilityZone: vm.availabilityZone, state: 'unconfirmed', detail: 'in the VM list, but no router that answered knows it' }))
 }
 
-/** A router that was named but did not answer stands under its URL, since its node id is not known. */
+/** Lists each queried router that did not answer under its URL, since its node id is not known. */
 const judgeUnreachable = (answers: readonly RouterAnswer[], reported: number): readonly NodeRollout[] => answers.flatMap((answer): readonly NodeRollout[] => {
   if (answer.kind === 'answered') return []
-  const detail = `unreachable: ${answer.message}${reported === 0 ? '' : '; its node stands under its own name if its peers know it'}`
+  const detail = `unreachable: ${answer.message}${reported === 0 ? '' : '; it is also listed by its node id if its peers know it'}`
   return [{ node: answer.url, availabilityZone: '', state: 'unconfirmed', detail }]
 })
 
-/** The latest that anybody heard: the highest incarnation, then the highest generation; a live view goes before a dead one. */
+/** Merges member views into the latest: the highest incarnation, then the highest generation, then the most alive state. */
 const mergeMembers = (reports: readonly RouterReport[]): readonly Member[] => {
   const latest = new Map<string, Member>()
   for (const member of reports.flatMap(({ members }) => members)) {
--- a/src/decisions/judgeRollout/test.ts
+++ b/src/decisions/judgeRollout/test.ts
@@ -24,29 +24,29 @@
   })
 
   it.each<[string, Partial<Member>, readonly Vm[] | undefined, string, boolean]>([
-    ['a live peer that told the generation', {}, undefined, 'reported', true],
+    ['a live peer that reported the generation', {}, undefined, 'reported', true],
     ['a live peer with an older generation', { generation: 2 }, undefined, 'behind', false],
-    ['a suspect', { state: 'suspect' }, undefined, 'unconfirmed', false],
-    ['a dead one while the VM list is not known', { state: 'dead' }, undefined, 'unconfirmed', false],
-    ['a dead one that the VM list still has, as in a zone that is cut off', { state: 'dead' }, [createVm(1), createVm(2)], 'unconfirmed', false],
-    ['a dead one whose VM is no longer listed', { state: 'dead' }, [createVm(1)], 'gone', true]
-  ])('judges %s that was not asked', (_, changes, vms, state, isInForceEverywhere) => {
+    ['a suspected peer', { state: 'suspect' }, undefined, 'unconfirmed', false],
+    ['a dead peer while the VM list is not known', { state: 'dead' }, undefined, 'unconfirmed', false],
+    ['a dead peer that is still in the VM list, as in a partitioned zone', { state: 'dead' }, [createVm(1), createVm(2)], 'unconfirmed', false],
+    ['a dead peer whose VM is no longer listed', { state: 'dead' }, [createVm(1)], 'gone', true]
+  ])('evaluates %s that was not queried', (_, changes, vms, state, isInForceEverywhere) => {
     const rollout = judgeRollout(3, [createAnswer(1, { members: [createMember(1), createMember(2, changes)] })], vms)
     expect(rollout.nodes[1]).toMatchObject({ node: 'router-2', state })
     expect(rollout.isInForceEverywhere).toBe(isInForceEverywhere)
   })
 
-  it('passes on why a router is behind', () => {
+  it('reports why a router is behind', () => {
     const rollout = judgeRollout(3, [createAnswer(1, { generation: 2, pending: { generation: 3, reason: 'platform: unavailable' } })], undefined)
     expect(rollout.nodes[0]).toMatchObject({ state: 'behind', generation: 2, detail: 'platform: unavailable' })
   })
 
-  it('does not confirm while the VM list has a router that nobody knows', () => {
+  it('does not confirm while the VM list contains a router that no router knows', () => {
     expect(judgeRollout(3, [createAnswer(1)], [createVm(1), createVm(9)])).toMatchObject({ isInForceEverywhere: false })
   })
 
-  // A number from before a router's restart would confirm what it no longer has.
-  it('believes the later incarnation of a restarted router', () => {
+  // A generation from before a router's restart would confirm a configuration that it no longer has.
+  it('prefers the later incarnation of a restarted router', () => {
     const before = createMember(2, { generation: 3 })
     const after = createMember(2, { incarnation: 2, generation: 0 })
     const rollout = judgeRollout(3, [createAnswer(1, { members: [after] }), createAnswer(3, { members: [before] })], undefined)
--- a/src/decisions/judgeStop/index.ts
+++ b/src/decisions/judgeStop/index.ts
@@ -1,38 +1,39 @@
 /**
- * Whether a node that stops takes a request. The load it answers: a fleet that
- * is stopped node by node, where a refused caller may meet another stopping node
- * and a stream that outlasts its node is cut in the middle.
+ * Decides whether a gateway that is shutting down accepts a request. Load pattern:
+ * a rolling restart, where a rejected caller may reach another gateway that is
+ * shutting down, and a stream that outlasts its gateway is cut.
  */
 
 export type StopQuestion = {
-  /** Milliseconds until the node ends. */
+  /** Milliseconds until the node exits. */
   readonly leftMs: number
-  /** Longest time in milliseconds that the request may still take: then its deadline ends it. */
+  /** Milliseconds until the deadline of the request, the longest that it can take. */
   readonly limitMs: number
-  /** Milliseconds between the begin of the stop and the request's arrival. */
+  /** Milliseconds from the start of the shutdown to the arrival of the request. */
   readonly arrivedAfterMs: number
-  /** Share of the route's latest streams that took longer than `leftMs`; `undefined` while too few are known. */
+  /** Share of the route's recent streams that took longer than `leftMs`; `undefined` while too few are known. */
   readonly lateShare: number | undefined
-  /** Milliseconds that it takes at most by its tokens and the pace of the slowest stream seen, used while no share is known. */
+  /** Estimated maximum duration in milliseconds, from its tokens and the speed of the slowest observed stream. Used while no share is known. */
   readonly estimatedMs: number
 }
 
 /**
- * A balancer that asks once a second and turns a node away after two misses has done so by then. Before,
- * callers can't avoid the node; afterwards they come by old connections, or where most nodes of the zone stop.
+ * By this time a load balancer with one health check per second has removed the node after two failed checks.
+ * Earlier, callers cannot avoid the node. Later requests arrive on old connections, or because most nodes of
+ * the zone are shutting down.
  */
 const TURNING_AWAY_MS = 2_500
-/** A refusal costs a caller a second connection, a cut stream all of its answer. */
+/** A low share, since a rejection costs a caller only a second connection, and a cut stream its complete answer. */
 const MOST_LATE_SHARE = 0.05
 
 /**
- * Judges one request.
+ * Decides on one request.
  *
- * While callers are still being turned away, what very likely ends in time is taken; later only what
- * its own deadline ends in time, since no margin covers a stream longer than any seen.
+ * Until load balancers have removed the node, it accepts a request that will very likely end in time. Later it
+ * accepts only a request whose deadline is early enough, since a stream may be longer than any observed before.
  *
- * @param question - The time left, and what is known of the request's duration.
- * @returns Whether the node takes it.
+ * @param question - The time left, and the deadline and estimated duration of the request.
+ * @returns Whether the node accepts the request.
  *
  * @example
  * judgeStop({ leftMs: 4_000, limitMs: 3_000, arrivedAfterMs: 3_500, lateShare: undefined, estimatedMs: 9_000 }) // => true
