--- a/src/decisions/limitEjections/index.ts
+++ b/src/decisions/limitEjections/index.ts
@@ -1,31 +1,31 @@
 /**
- * The bound on ejections: when many servers of a service fail at once, the
- * cause is more likely shared, and throwing all of them out would turn a bad
- * hour into an outage.
+ * Bounds the share of a service's servers that are ejected. When many servers
+ * fail at once, the cause is more likely shared, and ejecting all of them would
+ * turn a partial failure into an outage.
  */
 
 export type EjectionCandidate = {
   readonly backendServer: string
   readonly slots: number
   readonly isEjected: boolean
-  /** Connections to it can't be made, which harms no request. */
+  /** Connections to the server fail, so that no request has run on it. */
   readonly isUnreachable: boolean
-  /** Monotonic milliseconds since which it is ejected. */
+  /** When the server was ejected, in monotonic milliseconds. */
   readonly since: number
 }
 
 /**
- * Decides which ejections of one service hold.
+ * Decides which ejections of one service take effect.
  *
- * Servers that can't be reached stay out, whatever the share: a request sent
- * there would surely fail, as it does when an availability zone is cut off.
- * Of the others, those that failed first stay out up to the share of the
- * slots that can be reached; the rest serve on. When every server is
- * unreachable, all are let in, since an attempt costs nothing then.
+ * Unreachable servers stay ejected regardless of the share: a request sent to
+ * one would fail, as it does when an availability zone is cut off. Of the
+ * others, those that failed first stay ejected, up to the given share of the
+ * reachable slots; the rest keep serving. When every server is unreachable,
+ * none is ejected, since an attempt costs nothing then.
  *
  * @param candidates - The servers of one service that are not leaving.
  * @param maximumShare - Share of reachable slots that may be ejected, 0 to 1.
- * @returns Names of the servers that are out.
+ * @returns Names of the ejected servers.
  *
  * @example
  * limitEjections(twoServersBothFailing, 0.5).size // => 1
--- a/src/decisions/limitEjections/test.ts
+++ b/src/decisions/limitEjections/test.ts
@@ -20,7 +20,7 @@
     { healths: ['unreachable', 'failing', 'failing'], out: ['engine-0', 'engine-1'] },
     { healths: ['unreachable', 'failing'], out: ['engine-0'] },
     { healths: ['unreachable', 'unreachable'], out: [] }
-  ])('keeps $out out of $healths', ({ healths, out }) => {
+  ])('ejects $out of $healths', ({ healths, out }) => {
     expect([...limitEjections(createCandidates(healths), 0.5)].sort()).toEqual(out)
   })
 })
--- a/src/decisions/matchRoute/index.ts
+++ b/src/decisions/matchRoute/index.ts
@@ -1,20 +1,20 @@
-/** Finds the route of a plain request by its path. */
+/** Finds the route of a request to a plain service by its path. */
 import type { Route } from '../../types/index.js'
 
-/** A route with the path prefix that it is found by, lower-case and without a final slash. */
+/** A route with its path prefix, in lower case and without a trailing slash. */
 export type PathRoute = { readonly prefix: string, readonly route: Route }
 
 const covers = (prefix: string, path: string): boolean =>
   path === prefix || path.startsWith(`${prefix}/`)
 
 /**
- * Takes the route with the longest path prefix, by whole segments.
+ * Selects the route with the longest path prefix. Prefixes match complete path segments only.
  *
- * Letter case is ignored: a backend server that ignores it too would
- * otherwise run `/shop/Orders` under the looser rules of `/shop`.
+ * Letter case is ignored. Otherwise a backend server that ignores case would
+ * run `/shop/Orders` under the less strict rules of `/shop`.
  *
  * @param routes - Plain routes, in any order.
- * @param path - A normal path, without query.
+ * @param path - A normalised path, without query.
  * @returns The route, or `undefined` when none covers the path.
  *
  * @example
--- a/src/decisions/matchRoute/test.ts
+++ b/src/decisions/matchRoute/test.ts
@@ -23,7 +23,7 @@
     expect(matchRoute(ROUTES, path)?.name).toBe(name)
   })
 
-  it('takes a route of the whole path space for everything', () => {
+  it('matches every path with the empty prefix', () => {
     expect(matchRoute([createPathRoute('')], '/any')?.name).toBe('')
   })
 })
--- a/src/decisions/measureAge/index.ts
+++ b/src/decisions/measureAge/index.ts
@@ -1,37 +1,37 @@
 /**
- * How much time has passed for a process that may have been suspended. The
- * monotonic clock stands still while a VM is suspended, and the wall clock
- * jumps by itself; neither alone says how old a belief is.
+ * Measures elapsed time in a process that may have been suspended. The
+ * monotonic clock stops while a VM is suspended, and the wall clock can be set;
+ * neither alone gives the age of a last known state.
  */
 
-/** What the clocks showed at one moment, in milliseconds. */
+/** The values of all clocks at one moment, in milliseconds. */
 export type ClockReading = {
   readonly monotonic: number
   readonly wall: number
-  /** Time since the machine's start, suspended time included. */
+  /** Time since the machine booted, including time during which it was suspended. */
   readonly boot: number
 }
 
-/** The clocks now. The boot clock costs a read of a file, so it is read only where the others disagree. */
+/** Functions that read the clocks. The boot clock costs a file read, so it is read only where the others disagree. */
 export type Clocks = {
   readonly monotonic: () => number
   readonly wall: () => number
   readonly boot: () => number
 }
 
-/** Clocks that differ by less than this agree: reading them one after another, and slewing, takes some milliseconds. */
+/** Clocks that differ by less than this agree: reading them one after another and clock slewing account for some milliseconds. */
 const AGREEMENT_MS = 100
 
 /**
- * Measures the time since a reading, never too short.
+ * Measures the time since a reading, and errs on the long side.
  *
- * While monotonic and wall clock agree, either tells. Where they differ, the
- * machine was suspended or its wall clock was set: the longest of the three
- * counts, since a belief that is taken for older than it is costs a question,
- * and one taken for younger breaks a promise.
+ * While the monotonic and the wall clock agree, either is right. Where they
+ * differ, the machine was suspended or its wall clock was set, and the longest
+ * of the three durations counts. Overestimating an age costs an extra request;
+ * underestimating it means acting on data that is too old.
  *
  * @param since - The earlier reading.
- * @param clocks - The machine's clocks, read now.
+ * @param clocks - The machine's clocks.
  * @returns Milliseconds.
  *
  * @example
--- a/src/decisions/measureAge/test.ts
+++ b/src/decisions/measureAge/test.ts
@@ -8,10 +8,10 @@
 describe('measureAge', () => {
   test('is the time that passed', () => expect(measure(at(0, 1_000, 50), at(400, 1_400, 450))).toBe(400))
 
-  // A key taken away while a VM was suspended would pass for confirmed just now.
-  test('counts the time for which the VM was suspended', () => expect(measure(at(0, 0, 0), at(10, 5_010, 5_010))).toBe(5_010))
+  // Otherwise a key that was revoked while the VM was suspended would count as confirmed just now.
+  test('includes the time for which the VM was suspended', () => expect(measure(at(0, 0, 0), at(10, 5_010, 5_010))).toBe(5_010))
 
-  test('counts it also when the wall clock jumped back as far', () => expect(measure(at(0, 0, 0), at(10, 10 - 3_000, 5_010))).toBe(5_010))
-  test('takes a jump ahead of the wall clock for time that passed', () => expect(measure(at(0, 0, 0), at(10, 2_410, 10))).toBe(2_410))
-  test('passes over a jump back', () => expect(measure(at(0, 0, 0), at(500, -2_000, 500))).toBe(500))
+  test('includes that time also when the wall clock was set back while the VM was suspended', () => expect(measure(at(0, 0, 0), at(10, 10 - 3_000, 5_010))).toBe(5_010))
+  test('counts a forward jump of the wall clock as elapsed time', () => expect(measure(at(0, 0, 0), at(10, 2_410, 10))).toBe(2_410))
+  test('ignores a backward jump of the wall clock', () => expect(measure(at(0, 0, 0), at(500, -2_000, 500))).toBe(500))
 })
--- a/src/decisions/mergeLeavingMark/index.ts
+++ b/src/decisions/mergeLeavingMark/index.ts
@@ -1,18 +1,18 @@
 /**
- * The order among marks of one source about one backend server.
+ * Merges leaving marks that one source has set on one backend server.
  */
 import type { LeavingMark } from '../../types/index.js'
 
 /**
- * Merges what is known with a mark that was heard.
+ * Merges the known mark with a received one.
  *
- * The higher epoch wins, so that a mark once set is not undone by an older
- * word; within one epoch leaving wins, as new work for a leaving server does
- * more harm than none for one that stays. The merge is commutative,
+ * The higher epoch wins, so that an older report does not undo a newer mark.
+ * Within one epoch leaving wins: sending work to a server that leaves does more
+ * harm than sending none to one that stays. The merge is commutative,
  * associative and idempotent.
  *
- * @param known - The mark so far; `undefined` when there is none.
- * @param heard - A mark of the same server and source.
+ * @param known - The current mark; `undefined` when there is none.
+ * @param heard - The received mark, of the same server and source.
  * @returns The mark to keep; `known` itself when nothing changed.
  *
  * @example
--- a/src/decisions/mergeLoadDigest/index.ts
+++ b/src/decisions/mergeLoadDigest/index.ts
@@ -1,5 +1,5 @@
 /**
- * What a receiver knows of one source's load, digest by digest.
+ * Tracks the load counts of one source from the digests that it sends.
  */
 import type { LoadDigest } from '../../types/index.js'
 
@@ -7,21 +7,21 @@
   readonly sequence: number
   /** Requests in flight by backend server; a server that is missing has none. */
   readonly counts: ReadonlyMap<string, number>
-  /** A digest was missed, so some counts may be old until a full one comes. */
+  /** A digest was missed, so some counts may be stale until a full digest arrives. */
   readonly hasGap: boolean
 }
 
 /**
- * Merges a digest into what is known of its source.
+ * Merges a digest into the record of its source.
  *
- * A lost digest shows as a jump of the sequence number. Its successor is still
- * applied, as its counts are the newest there are, and `hasGap` tells the
- * caller to ask for a full one. A digest that comes late or twice is ignored:
- * applying it would bring back counts that have been replaced.
+ * A lost digest shows as a gap in the sequence numbers. The digest after the
+ * gap is still applied, as its counts are the latest, and `hasGap` tells the
+ * caller to request a full digest. A late or duplicate digest is ignored:
+ * applying it would restore counts that have been replaced.
  *
- * @param known - The record so far; `undefined` when the source is new.
- * @param digest - The digest that arrived.
- * @returns The new record; `known` itself when the digest is late or repeated.
+ * @param known - The current record; `undefined` when the source is new.
+ * @param digest - The received digest.
+ * @returns The new record; `known` itself when the digest is late or a duplicate.
  *
  * @example
  * mergeLoadDigest(undefined, fullDigest).hasGap // => false
@@ -36,7 +36,7 @@
   return { sequence: digest.sequence, counts, hasGap: !digest.full && isAfterGap(known, digest) }
 }
 
-/** After a gap the full digest that was asked for comes under the number of the last one. */
+/** The full digest that was requested after a gap has the same sequence number as the last digest. */
 const isLate = (known: LoadRecord, digest: LoadDigest): boolean => {
   const isRepair = digest.full && known.hasGap && digest.sequence === known.sequence
   return digest.sequence <= known.sequence && !isRepair
--- a/src/decisions/mergeLoadDigest/test.ts
+++ b/src/decisions/mergeLoadDigest/test.ts
@@ -13,7 +13,7 @@
 const createDigest = (sequence: number, full: boolean, inFlight: number): LoadDigest =>
   ({ ...head(sequence), full, counts: [{ backendServer: 'engine-1', inFlight }] })
 
-/** The digests of a source whose counts take these values one after the other. */
+/** The digests of a source whose counts go through these states in turn. */
 const createHistory = (states: readonly (readonly number[])[]): readonly LoadDigest[] => {
   const digests: LoadDigest[] = []
   let sent: ReadonlyMap<string, number> | undefined
@@ -36,7 +36,7 @@
 const statesArbitrary = fc.array(stateArbitrary, { minLength: 1, maxLength: 12 })
 
 describe('mergeLoadDigest', () => {
-  it('follows every count when no digest is lost', () => {
+  it('has the latest counts when no digest is lost', () => {
     fc.assert(fc.property(statesArbitrary, (states) => {
       const record = mergeAll(createHistory(states))
       expect(record?.counts).toEqual(withoutZeros(states.at(-1)!))
@@ -44,8 +44,8 @@
     }), { seed: SEED })
   })
 
-  // Lost, doubled and disordered digests would leave counts wrong for good.
-  it('equals the truth after any losses and one full digest', () => {
+  // Without the repair by a full digest, lost, duplicate and reordered digests would leave counts wrong permanently.
+  it('equals the actual counts after any losses and one full digest', () => {
     fc.assert(fc.property(statesArbitrary, fc.array(fc.nat({ max: 20 }), { maxLength: 30 }), stateArbitrary, (states, arrivals, truth) => {
       const history = createHistory(states)
       const arrived = arrivals.map((index) => history[index % history.length]!)
@@ -62,7 +62,7 @@
     { case: 'a late digest', arrivals: [createDigest(1, true, 1), createDigest(3, false, 3), createDigest(2, false, 2)], inFlight: 3, hasGap: true },
     { case: 'a lost digest', arrivals: [createDigest(1, true, 1), createDigest(3, false, 3), createDigest(4, false, 4)], inFlight: 4, hasGap: true },
     { case: 'a full digest after a loss', arrivals: [createDigest(1, true, 1), createDigest(3, false, 3), createDigest(4, true, 5)], inFlight: 5, hasGap: false },
-    { case: 'a full digest under the number of the last after a loss', arrivals: [createDigest(1, true, 1), createDigest(3, false, 3), createDigest(3, true, 4)], inFlight: 4, hasGap: false },
+    { case: 'a full digest with the sequence number of the last one after a loss', arrivals: [createDigest(1, true, 1), createDigest(3, false, 3), createDigest(3, true, 4)], inFlight: 4, hasGap: false },
     { case: 'a first digest that is not full', arrivals: [createDigest(7, false, 3)], inFlight: 3, hasGap: true }
   ])('handles $case', ({ arrivals, inFlight, hasGap }) => {
     const record = mergeAll(arrivals)
--- a/src/decisions/mergeMember/index.ts
+++ b/src/decisions/mergeMember/index.ts
@@ -1,21 +1,21 @@
 /**
- * The order among records of one router, by which every router arrives at the
- * same view whatever the order in which rumours reach it.
+ * Merges member records, so that all routers arrive at the same view whatever
+ * the order in which gossip updates reach them.
  */
 import type { Member, MemberState } from '../../types/index.js'
 
 const PRECEDENCE: Readonly<Record<MemberState, number>> = { live: 0, suspect: 1, leaving: 2, dead: 3 }
 
 /**
- * Merges what is known of a member with a record that was heard.
+ * Merges the known record of a member with a received one.
  *
  * The higher incarnation wins. Within one incarnation the worse state wins, so
- * that only the member itself, by a higher incarnation, can take a suspicion
- * or a leaving mark back; and the generation only grows. The merge is
+ * that only the member itself, with a higher incarnation, can revoke a
+ * suspicion or a leaving mark; and the generation only grows. The merge is
  * commutative, associative and idempotent.
  *
- * @param known - The record so far; `undefined` when the member is new here.
- * @param heard - A record of the same member.
+ * @param known - The current record; `undefined` when the member is new here.
+ * @param heard - The received record of the same member.
  * @returns The record to keep; `known` itself when nothing changed.
  *
  * @example
--- a/src/decisions/mergeMember/test.ts
+++ b/src/decisions/mergeMember/test.ts
@@ -13,7 +13,7 @@
 const memberArbitrary = fc.record({ incarnation: fc.nat({ max: 3 }), state: fc.constantFrom(...STATES), generation: fc.nat({ max: 3 }) }).map(createMember)
 
 describe('mergeMember', () => {
-  it('gives the same record in whatever order rumours arrive', () => {
+  it('gives the same record in whatever order gossip updates arrive', () => {
     fc.assert(fc.property(fc.array(memberArbitrary, { minLength: 1, maxLength: 6 }), fc.infiniteStream(fc.nat()), (records, picks) => {
       const shuffled = [...records]
       for (let index = shuffled.length - 1; index > 0; index--) {
@@ -35,13 +35,13 @@
     { known: { state: 'leaving' }, heard: { state: 'dead' }, state: 'dead' },
     { known: { state: 'dead' }, heard: { state: 'live', incarnation: 6 }, state: 'live' },
     { known: { state: 'live' }, heard: { state: 'dead', incarnation: 4 }, state: 'live' }
-  ] as const)('makes $state of $known and $heard', ({ known, heard, state }) => {
+  ] as const)('merges $known and $heard to $state', ({ known, heard, state }) => {
     expect(mergeMember(createMember(known), createMember(heard)).state).toBe(state)
   })
 })
 
 describe('refuteRumour', () => {
-  it('wins against any rumour about this node', () => {
+  it('wins against any gossip update about this node', () => {
     fc.assert(fc.property(memberArbitrary, memberArbitrary, (record, rumour) => {
       const self = { ...record, state: 'live' as const }
       const refuted = refuteRumour(self, rumour)
@@ -49,7 +49,7 @@
     }), { seed: SEED })
   })
 
-  it('keeps the incarnation when the rumour is true', () => {
+  it('keeps the incarnation when the gossip update is correct', () => {
     const self = createMember()
     expect(refuteRumour(self, createMember())).toBe(self)
   })
--- a/src/decisions/normalisePath/test.ts
+++ b/src/decisions/normalisePath/test.ts
@@ -13,10 +13,8 @@
     expect(normalisePath(target)).toEqual({ ok: true, value: { path, query } })
   })
 
-  /*
-   * A caller reaches a route that may not be repeated under the rules of one
-   * that may: the router reads the path one way, the backend server another.
-   */
+  // If the router and the backend server interpreted a path differently, a caller could run a request
+  // that must not be retried under the rules of a route whose requests may be retried.
   it.each([
     [''], ['orders'], ['*'], ['http://other/orders'], ['//other/orders'], ['/a//b'], ['/a/../orders'], ['/a/./b'], ['/a/..'],
     ['/a/%2e%2e/orders'], ['/a/.%2E/orders'], ['/a%2forders'], ['/a%5corders'], ['/a\\orders'], ['/orders;x=1'], ['/a/..;/orders'],
--- a/src/decisions/noteSend/index.ts
+++ b/src/decisions/noteSend/index.ts
@@ -2,13 +2,13 @@
 import { trimTimes } from '../_lib/trimTimes.js'
 
 /**
- * Notes a send.
+ * Records a send in the retry budget.
  *
- * @param budget - What was sent lately.
- * @param kind - Whether it is the first send of its request.
+ * @param budget - The times of recent sends.
+ * @param kind - Whether this is the first send of its request or a retry.
  * @param limits - The fleet's limits.
- * @param now - Monotonic milliseconds.
- * @returns The budget with the send, without what left the window.
+ * @param now - Time of the send, in monotonic milliseconds.
+ * @returns The budget with the send added and the sends before the window removed.
  *
  * @example
  * noteSend({ requests: [], repeats: [] }, 'repeat', { ratio: 0.2, extra: 50, windowMs: 10_000 }, 5).repeats // => [5]
--- a/src/decisions/observeLeaving/index.ts
+++ b/src/decisions/observeLeaving/index.ts
@@ -1,11 +1,11 @@
 /**
- * What this node's own sight of a source does to the mark of a backend server.
+ * Updates the leaving mark of a backend server from what this node observes at a source.
  */
 import type { LeavingMark, LeavingSource } from '../../types/index.js'
 
 export type LeavingSight = {
   readonly mark?: LeavingMark
-  /** Monotonic milliseconds since which the source said here, without a break, that the server stays. */
+  /** Since when the source has reported to this node, without interruption, that the server stays; monotonic milliseconds. */
   readonly contradictedSince?: number
 }
 
@@ -13,23 +13,24 @@
   readonly backendServer: string
   readonly source: LeavingSource
   readonly leaving: boolean
-  /** Monotonic milliseconds at which the source's statement was true. */
+  /** When the source's statement was true, in monotonic milliseconds. */
   readonly observedAt: number
-  /** Wall-clock milliseconds, for the epoch of a new mark. */
+  /** Wall-clock time in milliseconds, from which the epoch of a new mark is made. */
   readonly wallTime: number
 }
 
 /**
- * Applies an observation to what is known from one source.
+ * Applies an observation to the leaving mark of one source.
  *
  * A leaving server is marked at once. A mark is cleared only after the same
- * source has contradicted it here for a while: the VM list lags, so a node
- * that still reads an old list must not undo what another read in a new one.
+ * source has contradicted it at this node for `clearAfterMs`: the VM list lags,
+ * so a node that still reads an old list must not undo a mark that another node
+ * set from a newer one.
  *
- * @param sight - The mark and since when it is contradicted.
- * @param observation - What the source says now.
- * @param clearAfterMs - Contradiction needed to clear a mark, in milliseconds.
- * @returns The new sight; a changed mark has a higher epoch.
+ * @param sight - The mark, and since when the source contradicts it.
+ * @param observation - What the source reports now.
+ * @param clearAfterMs - How long the source must contradict a mark before it is cleared, in milliseconds.
+ * @returns The updated status; a changed mark has a higher epoch.
  *
  * @example
  * observeLeaving({}, { ...observation, leaving: true }, 5000).mark?.leaving // => true
@@ -43,6 +44,6 @@
   return { mark: createMark(sight, observation) }
 }
 
-/** Wall time makes the epoch grow also when the node that set the last one is gone. */
+/** Wall-clock time makes the epoch grow even when the node that set the previous mark is gone. */
 const createMark = ({ mark }: LeavingSight, { backendServer, source, leaving, wallTime }: LeavingObservation): LeavingMark =>
   ({ backendServer, source, leaving, epoch: Math.max((mark?.epoch ?? 0) + 1, wallTime) })
--- a/src/decisions/orderHeld/index.ts
+++ b/src/decisions/orderHeld/index.ts
@@ -1,19 +1,20 @@
 /**
- * In which order requests go out that were held for want of knowledge. The load
- * it answers: all nodes return at once, and what came while they were dark is let
- * go in one turn of a slow processor, so that the last one waits for all before it.
+ * Orders requests that were deferred because the node lacked the state to send them.
+ * Load pattern: after an outage all nodes recover at once and release their deferred
+ * requests in one turn of the event loop on a slow processor, so that the last one
+ * waits for all before it.
  */
 
 export type HeldRequest = {
-  /** Milliseconds until its goal; negative when that has passed. */
+  /** Milliseconds left to meet the request's latency target; negative when it is already missed. */
   readonly goalLeftMs: number
-  /** Milliseconds until its caller gives up. */
+  /** Milliseconds until the caller's deadline. */
   readonly deadlineLeftMs: number
   /** 0 is the most urgent. */
   readonly priority: number
 }
 
-/** Work of a backend server and the ways there and back: with less left, the goal is missed in any order. */
+/** Time for the backend server's work and the network round trip. With less left, the target is missed in any order. */
 const LEAST_WORK_MS = 30
 
 const isInTime = ({ goalLeftMs }: HeldRequest): boolean => goalLeftMs > LEAST_WORK_MS
@@ -25,11 +26,11 @@
 }
 
 /**
- * Orders held requests: first those that can still meet their goal, the one with
- * the least time left before the others; then the late ones, the most urgent first.
+ * Orders deferred requests: first those that can still meet their latency target,
+ * the one with the least time left first; then those that can't, the most urgent first.
  *
  * @param held - The requests.
- * @returns The same in the order in which they go out.
+ * @returns The same requests in the order in which to send them.
  *
  * @example
  * orderHeld([{ goalLeftMs: 500, deadlineLeftMs: 900, priority: 0 }, { goalLeftMs: 90, deadlineLeftMs: 900, priority: 2 }])[0]?.goalLeftMs // => 90
--- a/src/decisions/orderHeld/test.ts
+++ b/src/decisions/orderHeld/test.ts
@@ -4,31 +4,31 @@
 
 const createHeld = (changes: Partial<HeldRequest>): HeldRequest => ({ goalLeftMs: 400, deadlineLeftMs: 2_000, priority: 1, ...changes })
 
-/** Goals met when each request takes the processor for a while, one after the other. */
+/** Counts targets met when requests are processed one after the other, each for `workMs`. */
 const countInTime = (held: readonly HeldRequest[], workMs: number): number =>
   held.filter(({ goalLeftMs }, index) => (index + 1) * workMs <= goalLeftMs).length
 
 describe('orderHeld', () => {
-  test('lets the one with the least time left go first', () => {
+  test('puts the request with the least time left first', () => {
     const [short, long] = [createHeld({ goalLeftMs: 120, priority: 2 }), createHeld({ goalLeftMs: 700, priority: 0 })]
     expect(orderHeld([long, short])).toEqual([short, long])
   })
 
-  test('lets those go last that are late in any order, the most urgent of them first', () => {
+  test('puts requests last that miss their target in any order, the most urgent of them first', () => {
     const inTime = createHeld({ goalLeftMs: 300, priority: 2 })
     const urgent = createHeld({ goalLeftMs: -50, priority: 0 })
     const other = createHeld({ goalLeftMs: 10, priority: 2 })
     expect(orderHeld([other, urgent, inTime])).toEqual([inTime, urgent, other])
   })
 
-  test('changes nothing of what it is given', () => {
+  test('does not change its argument', () => {
     const held = [createHeld({ goalLeftMs: 700 }), createHeld({ goalLeftMs: 100 })]
     orderHeld(held)
     expect(held.map(({ goalLeftMs }) => goalLeftMs)).toEqual([700, 100])
   })
 
-  // Look-ups held behind long streams after a loss of power would all be late.
-  test('meets more goals than the order of coming', () => {
+  // In order of arrival, look-ups that wait behind long streams after a power loss would all be late.
+  test('meets more targets than the order of arrival', () => {
     const streams = Array.from({ length: 10 }, () => createHeld({ goalLeftMs: 500 }))
     const lookups = Array.from({ length: 10 }, (_, index) => createHeld({ goalLeftMs: 60 + 10 * index, priority: 2 }))
     const held = [...streams, ...lookups]
--- a/src/decisions/orderStreamEvent/index.ts
+++ b/src/decisions/orderStreamEvent/index.ts
@@ -1,29 +1,29 @@
 /**
- * Keeps the events of a resumable stream in order. Engines number them from 1;
- * after a resume some may come twice, and a faulty engine may leave some out.
+ * Keeps the events of a resumable stream in order. Model engines number events
+ * from 1; after a resume some may arrive twice, and a faulty engine may omit some.
  */
 
 export type StreamPosition = {
-  /** Number of the last event that was passed on; 0 before the first. */
+  /** Number of the last event that was forwarded; 0 before the first. */
   readonly lastId: number
-  /** Whether the stream numbers its events; unknown before the first one. */
+  /** Whether the stream numbers its events; `undefined` before the first one. */
   readonly numbered?: boolean
 }
 
 export type StreamEventVerdict =
   | { readonly kind: 'forward', readonly position: StreamPosition }
-  /** Passed on already. */
+  /** The event was already forwarded. */
   | { readonly kind: 'drop' }
-  /** Events before this one are missing, or its place can't be told. */
+  /** Events before this one are missing, or its position can't be determined. */
   | { readonly kind: 'gap' }
 
 const WHOLE_NUMBER = /^[1-9][0-9]{0,14}$/
 
 /**
- * Judges the next event by its number.
+ * Decides by its number what to do with the next event.
  *
- * @param position - What was passed on so far.
- * @param id - The event's id field, when it has one.
+ * @param position - How far the stream was forwarded.
+ * @param id - The event's id field; `undefined` when it has none.
  * @returns Whether to forward the event, drop it, or treat the stream as broken.
  *
  * @example
--- a/src/decisions/orderStreamEvent/test.ts
+++ b/src/decisions/orderStreamEvent/test.ts
@@ -7,18 +7,18 @@
 
 describe('orderStreamEvent', () => {
   it.each<[string, StreamPosition, string | undefined, string]>([
-    ['the first', FRESH, '1', 'forward'],
-    ['the next', AT_FOUR, '5', 'forward'],
-    ['one that came before', AT_FOUR, '4', 'drop'],
-    ['a much older one', AT_FOUR, '1', 'drop'],
-    ['one too far', AT_FOUR, '6', 'gap'],
-    ['a second one as the first', FRESH, '2', 'gap'],
-    ['one without a number among numbered ones', AT_FOUR, undefined, 'gap'],
-    ['one without a number', UNNUMBERED, undefined, 'forward'],
-    ['a number among unnumbered ones', UNNUMBERED, '1', 'gap'],
-    ['a number that is none', AT_FOUR, '5x', 'gap'],
+    ['the first event', FRESH, '1', 'forward'],
+    ['the next event', AT_FOUR, '5', 'forward'],
+    ['a duplicate of the last event', AT_FOUR, '4', 'drop'],
+    ['a duplicate of an older event', AT_FOUR, '1', 'drop'],
+    ['an event after a gap', AT_FOUR, '6', 'gap'],
+    ['event 2 as the first event', FRESH, '2', 'gap'],
+    ['an event without a number in a numbered stream', AT_FOUR, undefined, 'gap'],
+    ['an event without a number in an unnumbered stream', UNNUMBERED, undefined, 'forward'],
+    ['a number in an unnumbered stream', UNNUMBERED, '1', 'gap'],
+    ['an id that is not a number', AT_FOUR, '5x', 'gap'],
     ['zero', FRESH, '0', 'gap']
-  ])('judges %s', (_name, position, id, kind) => {
+  ])('handles %s', (_name, position, id, kind) => {
     expect(orderStreamEvent(position, id).kind).toBe(kind)
   })
 })
--- a/src/decisions/paceSourceReads/index.ts
+++ b/src/decisions/paceSourceReads/index.ts
@@ -1,38 +1,39 @@
 /**
- * How often a node looks at a source that others read for its zone. The load it
- * answers: a source that is back after an outage meets every node of the fleet at once.
+ * Decides how often a node reads a source that reader nodes read on behalf of its zone.
+ * Load pattern: a source that recovers from an outage gets requests from every node
+ * of the fleet at once (thundering herd).
  */
 
 export type SourceReadQuestion = {
   /** Whether this node reads the source for its zone. */
   readonly isReader: boolean
-  /** Milliseconds since the source was surely reached, by this node or by those on whom it relies. */
+  /** Milliseconds since the last confirmed read of the source, by this node or by the readers it relies on. */
   readonly ageMs: number
-  /** Age in milliseconds up to which a node relies on others. */
+  /** Age in milliseconds up to which a node relies on the readers. */
   readonly relianceMs: number
-  /** Pause of a reader after a read that failed, in milliseconds. */
+  /** Delay before a reader retries a failed read, in milliseconds. */
   readonly readerRetryMs: number
 }
 
 export type SourceReadPace = {
-  /** Whether the others' reads will do. */
+  /** Whether the node relies on the readers and doesn't read the source itself. */
   readonly isRelying: boolean
-  /** While it relies: milliseconds until that may be over. */
+  /** While the node relies on readers: milliseconds until it checks again. */
   readonly lookAfterMs: number
-  /** Milliseconds to wait after a read that failed. */
+  /** Delay after a failed read, in milliseconds. */
   readonly retryAfterMs: number
 }
 
-/** Least time between two looks of a node that relies on others: each wakes the processor. */
+/** Minimum time between two checks by a node that relies on readers: each check wakes the processor. */
 const LEAST_LOOK_MS = 100
-/** Readers find a source that is back first and tell; many others that try would load it in its trouble. */
+/** Readers notice first that a source has recovered and notify the others; retries by all nodes would add load to a struggling source. */
 const RETRY_BESIDE_READERS_MS = 2_000
 
 /**
- * Paces the reads of one node.
+ * Plans the next read of the source by one node.
  *
- * @param question - Its part, and how old its knowledge is.
- * @returns Whether it may rely on others, and for how long it waits.
+ * @param question - The node's role and the age of its data.
+ * @returns Whether the node may rely on the readers, and how long it waits.
  *
  * @example
  * paceSourceReads({ isReader: false, ageMs: 400, relianceMs: 1500, readerRetryMs: 250 }).lookAfterMs // => 1100
--- a/src/decisions/packLoadCounts/index.ts
+++ b/src/decisions/packLoadCounts/index.ts
@@ -1,7 +1,7 @@
 /**
- * Load counts as they go over the wire: a backend server is named by the hash
- * of its name. Names would make up most of the control traffic, and places in a
- * list mean other servers to a node whose list differs by one.
+ * Packs load counts for the wire. A backend server is identified by the hash of
+ * its name: names would make up most of the control traffic, and indexes into a
+ * list would refer to other servers on a node whose list differs by one entry.
  */
 import type { PackedLoadCounts } from '../../types/index.js'
 
@@ -12,7 +12,7 @@
  * Packs counts into typed arrays.
  *
  * @param counts - Requests in flight by the hash of the backend server's name.
- * @returns The hashes and, in the same order, the counts, in one byte each where all fit.
+ * @returns The hashes and, in the same order, the counts: one byte each when all fit, else two.
  *
  * @example
  * packLoadCounts(new Map([[4, 2]])) // => { servers: Uint32Array [4], inFlight: Uint8Array [2] }
@@ -27,10 +27,10 @@
 }
 
 /**
- * Unpacks counts. Two servers with the same hash are counted as one; among 600
- * that happens in one fleet of some 24,000.
+ * Unpacks counts. Two servers with the same hash are counted as one. With 600
+ * servers, such a collision occurs in about one of 24,000 fleets.
  *
- * @param packed - Hashes and counts, as a peer sent them.
+ * @param packed - Hashes and counts, as received from a peer.
  * @returns Requests in flight by the hash of the backend server's name.
  *
  * @example
--- a/src/decisions/packLoadDigest/index.ts
+++ b/src/decisions/packLoadDigest/index.ts
@@ -1,6 +1,5 @@
 /**
- * A load digest as it goes over the wire: its counts packed, with hashes in
- * place of names.
+ * Packs load digests for the wire, with hashes in place of the names of backend servers.
  */
 import { hashText } from '../../hashing/index.js'
 import { packLoadCounts, unpackLoadCounts } from '../packLoadCounts/index.js'
@@ -23,8 +22,8 @@
 /**
  * Unpacks a digest.
  *
- * @param packed - The message that came.
- * @returns The digest, with the hash as text in place of each name, as `formatServerHash` gives it.
+ * @param packed - The received message.
+ * @returns The digest, with each name replaced by its hash as `formatServerHash` formats it.
  *
  * @example
  * unpackLoadDigest(packLoadDigest(digest)).counts[0]?.backendServer // => formatServerHash('engine-1')
@@ -37,7 +36,7 @@
 })
 
 /**
- * Gives what stands for a backend server's name in an unpacked digest.
+ * Formats the hash that replaces a backend server's name in an unpacked digest.
  *
  * @param backendServer - Name of the backend server.
  * @returns Its hash as text.
--- a/src/decisions/parseLogLine/index.ts
+++ b/src/decisions/parseLogLine/index.ts
@@ -6,16 +6,16 @@
     const value: unknown = JSON.parse(text)
     return typeof value === 'object' && value !== null ? value as Readonly<Record<string, unknown>> : undefined
   } catch {
-    // Lines of other programs stand in the same files; they are no records.
+    // The same files contain lines of other programs, which are not log records.
     return undefined
   }
 }
 
 /**
- * Reads one line of a node's log. What a collector put before the JSON object is passed over.
+ * Parses one line of a node's log. A prefix that a log collector put before the JSON object is ignored.
  *
  * @param line - The line.
- * @returns The record, or `undefined` for a line that is none.
+ * @returns The record, or `undefined` when the line is not a log record.
  *
  * @example
  * parseLogLine('not a record') // => undefined
--- a/src/decisions/parseLogLine/test.ts
+++ b/src/decisions/parseLogLine/test.ts
@@ -5,6 +5,6 @@
 
 describe('parseLogLine', () => {
   test('reads event, node, time and fields', () => expect(parseLogLine(LINE)).toEqual({ event: 'request sent', node: 'n1', time: Date.parse('2026-01-14T00:43:58.325Z'), fields: { level: 'info', requestId: 'r1' } }))
-  test('passes over what a collector put before it', () => expect(parseLogLine(`  7.32 n1 ${LINE}`)?.event).toBe('request sent'))
-  test.each(['', 'text', '{"message":1}', '{broken', '{"message":"x","timestamp":"never"}'])('reads no record of %j', (line) => expect(parseLogLine(line)).toBeUndefined())
+  test('ignores a prefix that a log collector added', () => expect(parseLogLine(`  7.32 n1 ${LINE}`)?.event).toBe('request sent'))
+  test.each(['', 'text', '{"message":1}', '{broken', '{"message":"x","timestamp":"never"}'])('returns undefined for %j', (line) => expect(parseLogLine(line)).toBeUndefined())
 })
--- a/src/decisions/parseSheet/_lib/readCells.ts
+++ b/src/decisions/parseSheet/_lib/readCells.ts
@@ -1,6 +1,6 @@
 /**
- * Readers of single cells. A cell that cannot be read is reported and given a
- * stand-in value, so that the rest of the sheet is still checked in full.
+ * Reads single cells. A cell that cannot be parsed is reported and gets a
+ * placeholder value, so that the rest of the sheet is still checked.
  */
 import { parseIsoTime } from '../../../kernel/index.js'
 import type { SheetColumn } from '../../../types/index.js'
@@ -8,7 +8,7 @@
 
 export type CellReader = {
   readonly readName: (column: SheetColumn) => string
-  /** Which one of two columns a row fills; both are reported, and neither counts as the first. */
+  /** Which one of two columns a row fills. The first when neither is filled; both filled is a problem. */
   readonly readFilled: <First extends SheetColumn, Second extends SheetColumn>(first: First, second: Second) => First | Second
   readonly readModel: () => string | undefined
   readonly readPath: () => string | undefined
--- a/src/decisions/parseSheet/_lib/readRecords.ts
+++ b/src/decisions/parseSheet/_lib/readRecords.ts
@@ -1,4 +1,4 @@
-/** Readers of each record kind: from the cells of a row to a record. */
+/** Reads the record of each kind from the cells of a row. */
 import type { PlannedStopTarget, Sheet, SheetRecordKind } from '../../../types/index.js'
 import type { CellReader } from './readCells.js'
 import { recordLists } from './sheetColumns.js'
@@ -9,14 +9,14 @@
 export const DEFAULT_SLOTS = 8
 export const DEFAULT_DEADLINE_SECONDS = 60
 
-/** Smaller numbers would be written with an exponent, which a sheet does not have. */
+/** Smaller numbers would be serialized with an exponent, which the sheet format does not allow. */
 const MINIMUM_FRACTION = 0.001
 const MAXIMUM_WEIGHT = 1_000_000
 const MAXIMUM_LOAD_MULTIPLE = 100
 const MAXIMUM_SLOTS = 100_000
 const MAXIMUM_DEADLINE_SECONDS = 86_400
 
-/** Lists that grow while a file is read. */
+/** A sheet under construction, with mutable lists. */
 export type SheetBuilder = { readonly [List in keyof Sheet]: Sheet[List][number][] }
 
 type RecordReader = (cells: CellReader, sheet: SheetBuilder) => void
--- a/src/decisions/parseSheet/_lib/readRows.ts
+++ b/src/decisions/parseSheet/_lib/readRows.ts
@@ -1,6 +1,6 @@
 /**
- * From CSV text to rows with cells by column name. Faults of the form of the
- * file (quotes, header, number of cells) are found here.
+ * Parses CSV text into rows with cells by column name, and reports problems of
+ * the file format (quotes, header, number of cells).
  */
 import { parse, CsvError } from 'csv-parse/sync'
 import { isSheetColumn, sheetColumns, type SheetRow } from './sheetColumns.js'
@@ -10,7 +10,7 @@
 
 export type SheetRows = {
   readonly rows: readonly SheetRow[]
-  /** Place of each column in the header, from 1. */
+  /** Position of each column in the header, from 1. */
   readonly columnNumbers: ReadonlyMap<SheetColumn, number>
   readonly problems: readonly SheetProblem[]
 }
--- a/src/decisions/parseSheet/_lib/sheetColumns.ts
+++ b/src/decisions/parseSheet/_lib/sheetColumns.ts
@@ -1,6 +1,6 @@
 /**
- * The columns of a sheet, which of them each record kind uses, and where its
- * records go in a `Sheet`.
+ * Defines the columns of a sheet, the columns that each record kind uses, and the
+ * list of a `Sheet` that holds its records.
  */
 import type { Sheet, SheetColumn, SheetRecordKind } from '../../../types/index.js'
 
@@ -28,7 +28,7 @@
   plannedStop: ['record', 'name', 'availabilityZone', 'backendServer', 'startsAt', 'endsAt']
 }
 
-/** A row of the file: its cells by column, trimmed. */
+/** A row of the file, with trimmed cells by column. */
 export type SheetRow = {
   readonly line: number
   readonly cells: ReadonlyMap<SheetColumn, string>
--- a/src/decisions/parseSheet/index.ts
+++ b/src/decisions/parseSheet/index.ts
@@ -1,7 +1,7 @@
 /**
- * Reading of the operators' sheet: CSV, a header row, then one row a record.
- * Every fault is reported with its place, so that planners mend a sheet in one
- * go; a sheet with any fault gives no `Sheet` at all.
+ * Parses the operators' sheet: CSV with a header row, then one row per record.
+ * Every problem is reported with its position, so that all can be fixed in one
+ * pass; a sheet with any problem gives no `Sheet` at all.
  */
 import { failure, success } from '../../kernel/index.js'
 import { checkSheet } from '../checkSheet/index.js'
@@ -11,17 +11,17 @@
 import { isRecordKind, recordColumns, recordKinds, recordLists, type SheetRow } from './_lib/sheetColumns.js'
 import type { Result, Sheet, SheetColumn, SheetProblem } from '../../types/index.js'
 
-/** More problems than anyone mends in one go are counted, not listed. */
+/** Further problems are counted, not listed: nobody fixes more than this in one pass. */
 const MAXIMUM_PROBLEMS = 1_000
 
 /**
- * Parses a sheet and checks it whole.
+ * Parses and validates a complete sheet.
  *
  * A byte order mark, CRLF and blank rows are accepted. Cells are trimmed.
- * Places count lines of the file and cells of the row, both from 1.
+ * Positions are lines of the file and cells of the row, both counted from 1.
  *
  * @param text - The content of a CSV file.
- * @returns The sheet, or every problem found, in the order of lines and cells.
+ * @returns The sheet, or every problem found, ordered by line and cell.
  *
  * @example
  * parseSheet('') // => { ok: false, error: [{ line: 1, column: 1, message: 'the sheet is empty; ...' }] }
--- a/src/decisions/parseSheet/test.ts
+++ b/src/decisions/parseSheet/test.ts
@@ -22,7 +22,7 @@
 }
 
 describe('parseSheet', () => {
-  it('reads a sound sheet with its defaults', () => {
+  it('parses a valid sheet and fills in defaults', () => {
     const parsed = parseRows(soundRows())
     expect(parsed).toEqual({
       ok: true,
@@ -36,18 +36,18 @@
     })
   })
 
-  it('reads a file with a byte order mark, CRLF and blank rows alike', () => {
+  it('ignores a byte order mark, CRLF and blank rows', () => {
     const text = `\uFEFF${[HEADER, ...soundRows().flatMap((row) => [row, '', ','.repeat(19)]), ''].join('\r\n')}`
     expect(parseSheet(text)).toEqual(parseRows(soundRows()))
   })
 
-  it('reads a stop of a zone, also back from its canonical form', () => {
+  it('parses a planned stop of a zone, also from its canonical form', () => {
     const parsed = parseRows([...soundRows().slice(0, -1), stopRow({ backendServer: '', availabilityZone: 'venkov-a' })])
     expect(parsed.ok && parsed.value.plannedStops).toEqual([{ name: 'stop-1', availabilityZone: 'venkov-a', startsAt: Date.parse('2026-03-02T21:00:00Z') }])
     expect(parsed.ok && parseSheet(serializeSheet(parsed.value))).toEqual(parsed)
   })
 
-  it('is read back from its canonical form', () => {
+  it('round-trips the canonical form', () => {
     const parsed = parseRows([...soundRows()].reverse())
     expect(parsed.ok && parseSheet(serializeSheet(parsed.value))).toEqual(parsed)
   })
--- a/src/decisions/patchRecords/index.ts
+++ b/src/decisions/patchRecords/index.ts
@@ -1,4 +1,4 @@
-/** The records of a configuration from those of an earlier one and what changed, as `compareRecords` gives it. */
+/** Applies a configuration change, as computed by `compareRecords`, to the records of an earlier configuration. */
 import type { ConfigurationRecords, RecordChange, RecordStep } from '../../types/index.js'
 
 const readStep = (base: readonly unknown[], step: RecordStep): readonly unknown[] | undefined => {
@@ -9,11 +9,11 @@
 }
 
 /**
- * Applies a change.
+ * Applies a change to records.
  *
- * @param base - Records of the configuration that the change was made for.
- * @param change - Steps by section.
- * @returns The records, or `undefined` when a step names records that `base` lacks.
+ * @param base - Records of the configuration that the change is based on.
+ * @param change - By section, the steps that build its new records: runs of `base`, and new records.
+ * @returns The new records, or `undefined` when a step refers to records that are not in `base`.
  *
  * @example
  * patchRecords({ routes: [a, b] }, { routes: [{ from: 0, count: 1 }, { records: [c] }] }) // => { routes: [a, c] }
