--- a/src/decisions/placeRequest/index.ts
+++ b/src/decisions/placeRequest/index.ts
@@ -1,8 +1,8 @@
 /**
- * Which backend server gets a request. A model engine that keeps the shared
- * beginning of the prompt answers sooner and spares the others a read, so the
- * longest known prefix goes first; an even load and a short way come after,
- * each priced in prompt tokens that would have to be read.
+ * Selects the backend server for a request to a model service. A model engine that
+ * has the prompt's shared prefix in its cache responds sooner and skips the prefill of
+ * that prefix. The cost of a server is the sum of the missing prefix, its load and the
+ * traffic between availability zones, all expressed in prompt tokens to prefill.
  */
 import { hashText } from '../../hashing/index.js'
 import { groupBy } from '../../kernel/groupBy/index.js'
@@ -12,59 +12,59 @@
   readonly slots: number
   /** Estimated requests in flight from the whole fleet. */
   readonly load: number
-  /** Tokens of the prompt's shared parts that it is believed to keep. */
+  /** Estimated number of tokens of the prompt's shared prefix that are in its prompt cache. */
   readonly keptTokens: number
   readonly availabilityZone: string
-  /** How many times longer than its peers it lately took; 1 when it is as fast as they are. */
+  /** Factor by which its recent requests took longer than those of its peers; 1 when it is as fast as they are. */
   readonly slowness: number
 }
 
-/** A server that keeps a part of the prompt and can be copied from, whether or not it may get the request. */
+/** A server that caches a prefix of the prompt, which can be copied from it whether or not the server may get the request. */
 export type PromptKeeper = Pick<InstanceCandidate, 'id' | 'availabilityZone' | 'keptTokens'>
 
 export type PromptPlacement = {
   readonly id: string
-  /** The server to copy the prompt from; `undefined` where reading the rest is cheaper. */
+  /** The server to copy the cached prefix from; `undefined` where prefilling the missing tokens is cheaper. */
   readonly copyFrom: string | undefined
 }
 
 export type PlacementQuestion = {
-  /** Requests that share it should meet at the same servers; empty when nothing is shared. */
+  /** Key that is equal for requests with the same shared prefix, which should go to the same servers; empty when nothing is shared. */
   readonly affinityKey: string
   readonly sharedTokens: number
-  /** Bytes that travel between zones when the server is in another one than the node. */
+  /** Bytes transferred between zones when the server is in another zone than the node. */
   readonly expectedBytes: number
   readonly availabilityZone: string
   /**
-   * Requests in flight a backend server, over the whole service: servers that may not get this request
-   * count as well. Left out, the mean of the candidates takes its place.
+   * Mean number of requests in flight per backend server of the service, including servers that may not
+   * get this request. Defaults to the mean of the candidates.
    */
   readonly meanLoad?: number
 }
 
 export type PlacementWeights = {
-  /** The promise: no server over `boundFactor` times the mean plus `boundSlack`. */
+  /** Load bound: no server gets more than `boundFactor` times the mean load plus `boundSlack`. */
   readonly boundFactor: number
   readonly boundSlack: number
-  /** Tokens that one more request in flight per slot costs, at a full server. */
+  /** Cost in tokens of a server whose slots are all in use; proportionally less at lower load. */
   readonly tokensPerFullLoad: number
-  /** Tokens that a kilobyte between zones is worth. */
+  /** Cost in tokens of a kilobyte transferred between zones. */
   readonly tokensPerRemoteKilobyte: number
-  /** Tokens read that copying one token within a zone is worth. */
+  /** Cost of copying a token within a zone, as a share of the cost of prefilling it. */
   readonly copyShare: number
-  /** The same between two zones, where a copy goes over twice the way. */
+  /** The same between two zones, where the data of a copy crosses zones and counts twice. */
   readonly remoteCopyShare: number
-  /** Copies of fewer tokens aren't made: the call between the servers takes longer than reading them. */
+  /** Minimum tokens per copy: for fewer, the call between the servers takes longer than prefilling them. */
   readonly leastTokensCopied: number
   /**
-   * What the key's home is credited with, as a share of the prompt. Above the price of a copy a prompt
-   * moves home once its home can have it: nodes that know nothing of it, after a start or behind a cut, then
-   * find it by rank alone.
+   * Cost reduction for the key's home, the server that ranks highest for the key, as a share of the shared
+   * prefix. As it exceeds the cost of a copy, a prefix is copied to its home as soon as the home is eligible.
+   * Nodes without prompt cache state, after a start or a network partition, then find it by rank alone.
    */
   readonly homeShare: number
 }
 
-/** The bound leaves room under a promise of 2 and 3 for counts that are a quarter of a second old. */
+/** The bound is below the guaranteed factor of 2 and slack of 3, which leaves room for load counts that are up to 250 ms old. */
 export const defaultPlacementWeights: PlacementWeights = {
   boundFactor: 1.92,
   boundSlack: 2.7,
@@ -76,7 +76,7 @@
   homeShare: 0.5
 }
 
-/** The first by rendezvous: nodes with the same candidates find the same one, and it changes only when it leaves or a better one comes. */
+/** The highest-ranked by rendezvous hashing: nodes with the same candidates find the same one, and it changes only when it leaves or a higher-ranked one joins. */
 const findFirstRanked = (affinityKey: string, candidates: readonly InstanceCandidate[]): InstanceCandidate | undefined => {
   if (affinityKey === '') return undefined
   const seed = hashText(affinityKey)
@@ -91,7 +91,7 @@
   return best
 }
 
-/** Of each zone the one that keeps most: a copy costs by zone and tokens alone, so no other is ever cheaper. */
+/** Selects the server with the longest cached prefix in each zone. The cost of a copy depends on zone and tokens only, so no other server is cheaper. */
 const findBestKeepers = (keepers: readonly PromptKeeper[]): readonly PromptKeeper[] => {
   const best = new Map<string, PromptKeeper>()
   for (const keeper of keepers) {
@@ -101,14 +101,14 @@
 }
 
 type Offer = PromptPlacement & {
-  /** In prompt tokens, without the price of the load. */
+  /** Cost in prompt tokens without the cost of the load. */
   readonly fixedCost: number
   readonly cost: number
 }
 
 /**
- * Of offers that differ in load alone, the better one of two drawn at random. Every node knows the same loads,
- * some of them half a second old: if each took the emptiest server, all would meet there.
+ * Of options that differ in load only, selects the better of two random ones (power of two choices). All nodes
+ * have the same load counts, some of them 0.5 s old: if each took the least loaded server, all would send to it.
  */
 const drawOffer = (alike: readonly Offer[], random: () => number): Offer => {
   const first = Math.floor(random() * alike.length)
@@ -119,7 +119,7 @@
 
 type Reading = { readonly cost: number, readonly copyFrom: string | undefined }
 
-/** The cheapest way for a candidate to come to what it lacks of the prompt. */
+/** Selects the cheapest way for a candidate to get the prefix tokens that it lacks: prefill, or a copy from another server. */
 const findReading = (candidate: InstanceCandidate, sharedTokens: number, keepers: readonly PromptKeeper[], weights: PlacementWeights): Reading => {
   const missing = Math.max(0, sharedTokens - candidate.keptTokens)
   let best: Reading = { cost: missing, copyFrom: undefined }
@@ -137,9 +137,10 @@
   candidates.reduce((sum, candidate) => sum + candidate.load, 0) / candidates.length
 
 /**
- * The load that a server may have, the request to be placed included, before it gets no more of a crowd.
+ * Computes the maximum load of a server, including the request to be placed. A server at the bound gets no more
+ * requests while another server is below it.
  *
- * @param meanLoad - Requests in flight a backend server.
+ * @param meanLoad - Mean number of requests in flight per backend server.
  * @param weights - Factor and slack of the bound.
  * @returns The bound in requests.
  *
@@ -150,18 +151,18 @@
   boundFactor * meanLoad + boundSlack
 
 /**
- * Chooses among the candidates.
+ * Selects the candidate with the lowest cost.
  *
- * The bound on the load is hard while any candidate is under it. Of the
- * candidates that differ in load alone two are drawn, so that many nodes with
- * the same view do not all pick one.
+ * Candidates over the load bound are excluded while any is below it. Of the
+ * candidates that differ in load only, two are drawn at random, so that many
+ * nodes with the same view do not all select the same one.
  *
- * @param question - What is known of the request.
- * @param candidates - Backend servers that may get it.
- * @param keepers - Backend servers from which the prompt can be copied.
- * @param random - A number in [0, 1) per call.
- * @param weights - Prices and bounds.
- * @returns The chosen one, or `undefined` without candidates.
+ * @param question - The request to place.
+ * @param candidates - Backend servers that may get the request.
+ * @param keepers - Backend servers from which a cached prefix can be copied.
+ * @param random - Returns a number in [0, 1) per call.
+ * @param weights - Costs and bounds.
+ * @returns The placement, or `undefined` without candidates.
  *
  * @example
  * placeRequest({ affinityKey: '', sharedTokens: 0, expectedBytes: 0, availabilityZone: 'a' }, [], [], Math.random) // => undefined
--- a/src/decisions/placeRequest/test.ts
+++ b/src/decisions/placeRequest/test.ts
@@ -18,14 +18,14 @@
   placeRequest(question, candidates, keepers, random)?.id
 
 describe('placeRequest', () => {
-  test('finds nothing without candidates', () => expect(place(createQuestion(), [], still)).toBeUndefined())
+  test('selects nothing without candidates', () => expect(place(createQuestion(), [], still)).toBeUndefined())
 
-  test('prefers the server that keeps the prompt to an emptier one', () => {
+  test('prefers the server that caches the prompt to a less loaded one', () => {
     const servers = [createCandidate('kept', { keptTokens: 8_000, load: 6 }), createCandidate('empty', { load: 2 })]
     expect(place(createQuestion(), servers, still)).toBe('kept')
   })
 
-  test('sends one key to one server while nothing is known', () => {
+  test('sends one key to one server while no cached prefix is known', () => {
     const chosen = new Set(Array.from({ length: 20 }, () => place(createQuestion(), createServers(12), Math.random)))
     expect(chosen.size).toBe(1)
   })
@@ -43,13 +43,13 @@
     expect(moved).toHaveLength(0)
   })
 
-  // A crowd on one chat's part would take its server over the load promise.
-  test('spills where the server that keeps the prompt is over the bound', () => {
+  // A burst of requests for one shared prefix would take its server over the load bound.
+  test('selects another server when the one that caches the prompt is over the bound', () => {
     const servers = [createCandidate('kept', { keptTokens: 8_000, load: 20 }), ...createServers(5, { load: 3 })]
     expect(place(createQuestion(), servers, still)).not.toBe('kept')
   })
 
-  test('keeps every load under the promise while a crowd arrives', () => {
+  test('keeps every load under the guaranteed bound during a burst', () => {
     const loads = new Map(createServers(12, { load: 0 }).map(({ id }) => [id, 0]))
     for (let arrived = 0; arrived < 200; arrived++) {
       const servers = createServers(12).map((server) => ({ ...server, load: loads.get(server.id) ?? 0, keptTokens: server.id === 's1' ? 8_000 : 0 }))
@@ -60,30 +60,30 @@
     }
   })
 
-  test('takes the least loaded when all are full', () => {
+  test('selects the least loaded when all are full', () => {
     const servers = [createCandidate('a', { slots: 6, load: 9 }), createCandidate('b', { slots: 6, load: 7 })]
     expect(place(createQuestion({ sharedTokens: 0, affinityKey: '' }), servers, still)).toBe('b')
   })
 
-  test('stays in the zone where nothing speaks against it', () => {
+  test('prefers the zone of the node when all else is equal', () => {
     const servers = [createCandidate('far', { availabilityZone: 'b', slots: 6, load: 1 }), createCandidate('near', { slots: 6, load: 1 })]
     expect(place(createQuestion({ sharedTokens: 0, affinityKey: '' }), servers, still)).toBe('near')
   })
 
-  // The bytes of a long answer would cross zones for a short prompt.
-  test('takes a copy into the own zone rather than many bytes from another one', () => {
+  // Otherwise the bytes of a long response would cross zones to save the prefill of a short prompt.
+  test('copies a prompt into its own zone when a long response from another zone costs more', () => {
     const far = createCandidate('far', { availabilityZone: 'b', keptTokens: 400 })
     const near = createCandidate('near')
     expect(placeRequest(createQuestion({ sharedTokens: 400, expectedBytes: 10_000 }), [far, near], [far], still)).toEqual({ id: 'near', copyFrom: 'far' })
   })
 
-  test('leaves a long prompt where it is', () => {
+  test('uses the server that caches a long prompt, also in another zone', () => {
     const far = createCandidate('far', { availabilityZone: 'b', keptTokens: 8_000 })
     expect(placeRequest(createQuestion({ affinityKey: '' }), [far, createCandidate('near')], [far], still)).toEqual({ id: 'far', copyFrom: undefined })
   })
 
-  // Nodes that lost their knowledge, or a cut-off zone, find a prompt by rank alone only at its home.
-  test('moves a prompt to its home by a copy, and leaves it there', () => {
+  // Nodes without prompt cache state, after a start or in a partitioned zone, find a prompt by rank alone, at its home only.
+  test('copies a prompt to its home, and uses it there afterwards', () => {
     const others = createServers(8, { load: 2 })
     const home = place(createQuestion(), others)!
     const keeper = createCandidate(others.find(({ id }) => id !== home)!.id, { keptTokens: 8_000, load: 2 })
@@ -93,37 +93,38 @@
     expect(placeRequest(createQuestion(), moved, moved.filter(({ keptTokens }) => keptTokens > 0), still)).toEqual({ id: home, copyFrom: undefined })
   })
 
-  test('makes no copy to a server that is not the home while a keeper is free', () => {
+  test('makes no copy to a server that is not the home while a server that caches the prompt has capacity', () => {
     const servers = createServers(8, { load: 2 })
     const home = place(createQuestion(), servers)!
     const kept = servers.map((server) => server.id === home ? { ...server, keptTokens: 8_000, load: 4 } : server)
     expect(placeRequest(createQuestion(), kept, kept.filter(({ id }) => id === home), still)).toEqual({ id: home, copyFrom: undefined })
   })
 
-  // Copies between zones go over twice the way and count twice.
-  test('copies from a server of the same zone, though another one keeps a little more', () => {
+  // The data of a copy between zones crosses zones, so it costs twice as much.
+  test('copies from a server of the same zone, though a server of another zone caches slightly more', () => {
     const keepers = [createCandidate('far', { availabilityZone: 'b', keptTokens: 8_000, load: 40 }), createCandidate('near', { keptTokens: 7_800, load: 40 })]
     const free = createCandidate('free', { load: 0 })
     expect(placeRequest(createQuestion(), [...keepers, free, createCandidate('other', { load: 9 })], keepers, still)).toEqual({ id: 'free', copyFrom: 'near' })
   })
 
-  test('reads a few tokens rather than copying them', () => {
+  test('prefills a few tokens rather than copying them', () => {
     const keeper = { ...createCandidate('leaving'), keptTokens: 80 }
     expect(placeRequest(createQuestion({ sharedTokens: 80 }), [createCandidate('next')], [keeper], still)).toEqual({ id: 'next', copyFrom: undefined })
   })
 
-  test('gives a slow server less', () => {
+  test('prefers a fast server with more load to a slow one', () => {
     const servers = [createCandidate('slow', { slowness: 8, load: 2 }), createCandidate('quick', { load: 3 })]
     expect(place(createQuestion({ sharedTokens: 0, affinityKey: '' }), servers, still)).toBe('quick')
   })
 
-  test('leaves room under the promise for counts that are late', () => {
+  test('leaves room under the guaranteed bound for stale counts', () => {
     expect(defaultPlacementWeights.boundFactor).toBeLessThan(2)
     expect(defaultPlacementWeights.boundSlack).toBeLessThan(3)
   })
 
-  // All nodes of a zone moved prompts to the one server that was emptiest at the last sum, and took it over the promise.
-  test('keeps the promise where many nodes place by the same late loads', () => {
+  // If all nodes of a zone copied prompts to the server that was least loaded at the last update, they would
+  // take it over the load bound.
+  test('keeps the guaranteed bound when many nodes place by the same stale loads', () => {
     const random = createSeededRandom(7).next
     const believed = [createCandidate('empty', { load: 0 }), ...createServers(13, { load: 3 })]
     const keeper = createCandidate('keeper', { keptTokens: 8_000, load: 40 })
@@ -136,10 +137,10 @@
     expect(Math.max(...loads.values())).toBeLessThanOrEqual(2 * mean + 3)
   })
 
-  test('takes the less loaded of two servers that are alike', () =>
+  test('selects the less loaded of two otherwise equal servers', () =>
     expect(place(createQuestion({ affinityKey: '' }), [createCandidate('busy', { load: 6 }), createCandidate('idle', { load: 1 })], createSeededRandom(3).next)).toBe('idle'))
 
-  test('counts in the bound the servers that may not get the request', () => {
+  test('includes servers that may not get the request in the mean load of the bound', () => {
     const servers = [createCandidate('kept', { keptTokens: 8_000, load: 11 }), ...createServers(5, { load: 4 })]
     expect(place(createQuestion({ affinityKey: '' }), servers)).toBe('kept')
     expect(place(createQuestion({ affinityKey: '', meanLoad: 3 }), servers)).not.toBe('kept')
--- a/src/decisions/planRetry/index.ts
+++ b/src/decisions/planRetry/index.ts
@@ -1,6 +1,6 @@
 /**
- * What to do after a failed attempt: retry elsewhere, resume the stream on the
- * same backend server, or give the caller its final answer.
+ * Plans what follows a failed attempt: a retry on another backend server, a
+ * resume of the stream on the same one, or a final refusal to the caller.
  */
 import type { RefusalOutcome, RefusalReason } from '../../types/index.js'
 import type { AttemptState } from '../advanceAttempt/index.js'
@@ -13,7 +13,7 @@
   readonly mayHaveRunBefore: boolean
   /** Whether the request may be run a second time. */
   readonly repeatable: boolean
-  /** Whether any byte of an answer was passed to the caller. */
+  /** Whether any byte of a response was sent to the caller. */
   readonly delivered: boolean
   /** Whether the backend server can send the rest of this stream. */
   readonly resumable: boolean
@@ -47,7 +47,7 @@
 const canResume = (situation: RetrySituation, limits: RetryLimits): boolean =>
   situation.attempt.failedAt === 'answering' && situation.resumable && situation.resumes < limits.maximumResumes
 
-/** A caller that has seen bytes of one answer must not be given another one behind them. */
+/** A caller that has received bytes of one response must not get another response appended to them. */
 const canRunElsewhere = (situation: RetrySituation, limits: RetryLimits): boolean => {
   const allowed = situation.attempt.execution === 'notRun' || situation.repeatable
   return allowed && !situation.delivered && situation.attempts < limits.maximumAttempts && situation.budgetAvailable
@@ -66,19 +66,19 @@
 /**
  * Plans what follows a failed attempt.
  *
- * | failed | may be repeated | may not be repeated |
+ * | failed | repeatable | not repeatable |
  * |---|---|---|
- * | surely not run | elsewhere | elsewhere |
- * | sent, no answer | elsewhere | refuse, unknown |
- * | in mid-answer | resume, else elsewhere unless the caller has bytes, else refuse | resume, else refuse, unknown |
+ * | certainly not run | elsewhere | elsewhere |
+ * | sent, no response | elsewhere | refuse, unknown |
+ * | during the response | resume, else elsewhere unless the caller has bytes, else refuse | resume, else refuse, unknown |
  *
- * Going elsewhere is bounded by the attempts, the retry budget and the
- * deadline; the delay has full jitter, and a delay that would end after the
- * deadline is a refusal at once, not a wait. Resuming makes a backend server
- * do no work twice, so it takes nothing from the budget.
+ * Retries elsewhere are limited by the number of attempts, the retry budget and
+ * the deadline. The delay has full jitter. When it would end after the deadline,
+ * the request is refused at once. A resume makes no backend server do work
+ * twice, so it takes nothing from the budget.
  *
- * @param situation - The failed attempt and what is known of its request.
- * @param limits - Bounds on tries and on delays.
+ * @param situation - The failed attempt and the state of its request.
+ * @param limits - Limits on attempts, resumes and delays.
  * @returns The plan; delays are in milliseconds.
  *
  * @example
--- a/src/decisions/planRetry/test.ts
+++ b/src/decisions/planRetry/test.ts
@@ -43,7 +43,7 @@
     ['no budget, but resumable', { attempt: ANSWERING, resumable: true, budgetAvailable: false }, { kind: 'resume', delayMs: 50 }],
     ['attempts used up', { attempts: 3 }, refuse('not-run', 'backendFailed')],
     ['not run now, but maybe before', { attempts: 3, mayHaveRunBefore: true }, refuse('unknown', 'backendFailed')],
-    ['the delay would pass the deadline', { remainingMs: 50 }, refuse('not-run', 'backendFailed')],
+    ['the delay would end after the deadline', { remainingMs: 50 }, refuse('not-run', 'backendFailed')],
     ['the deadline has passed', { remainingMs: 0 }, refuse('not-run', 'deadline')]
   ])('%s', (_name, given, expected) => {
     expect(planRetry(createSituation(given), LIMITS)).toEqual(expected)
@@ -62,7 +62,7 @@
     random: fc.double({ min: 0, max: 0.999, noNaN: true })
   })
 
-  it('never sends again what may have run and may not be repeated, nor after bytes were delivered', () => {
+  it('never retries a request that may have run and is not repeatable, nor one with delivered bytes', () => {
     fc.assert(fc.property(anySituation, (situation) => {
       const plan = planRetry(situation, LIMITS)
       if (plan.kind !== 'retryElsewhere') return
@@ -71,7 +71,7 @@
     }), { seed: 4, numRuns: 5_000 })
   })
 
-  it('says "not-run" only if no attempt may have run', () => {
+  it('reports "not-run" only if no attempt may have run', () => {
     fc.assert(fc.property(anySituation, (situation) => {
       const plan = planRetry(situation, LIMITS)
       if (plan.kind !== 'refuse' || plan.outcome !== 'not-run') return
--- a/src/decisions/rankBackendServers/index.ts
+++ b/src/decisions/rankBackendServers/index.ts
@@ -1,14 +1,14 @@
 /**
- * Weighted rendezvous hashing: every router ranks the backend servers of a
- * chat alike without a shared table, and a server that leaves moves only the
- * chats that ranked it first.
+ * Ranks backend servers by weighted rendezvous hashing: all routers compute the
+ * same ranking for a chat without a shared table, and a server that leaves moves
+ * only the chats that ranked it first.
  */
 import { hashText } from '../../hashing/index.js'
 
-/** A backend server as placement sees it. */
+/** A backend server that may be selected. */
 export type PlacementCandidate = {
   readonly name: string
-  /** Share of the work it should get, in slots. Above 0. */
+  /** Share of the work it should get, in slots. Greater than 0. */
   readonly weight: number
 }
 
@@ -22,11 +22,11 @@
 /**
  * Ranks backend servers for a chat, the preferred one first.
  *
- * The chance to come first is a candidate's share of the whole weight. Adding
- * or removing a candidate leaves the order of the others as it was.
+ * The probability of ranking first is a candidate's share of the total weight.
+ * Adding or removing a candidate does not change the order of the others.
  *
- * @param chatKey - Key of the chat; the same on every turn.
- * @param candidates - The backend servers that may serve it, in any order.
+ * @param chatKey - Key of the chat, the same on every turn.
+ * @param candidates - The backend servers that may serve the chat, in any order.
  * @returns A new array with the same candidates, ranked.
  *
  * @example
--- a/src/decisions/rankBackendServers/test.ts
+++ b/src/decisions/rankBackendServers/test.ts
@@ -29,7 +29,7 @@
     expect(share).toBeCloseTo(0.75, 1)
   })
 
-  it('leaves its argument as it was', () => {
+  it('does not change its argument', () => {
     const candidates = Object.freeze(createCandidates(3))
     expect(() => rankBackendServers('chat', candidates)).not.toThrow()
   })
--- a/src/decisions/rankMembers/index.ts
+++ b/src/decisions/rankMembers/index.ts
@@ -1,11 +1,11 @@
 /**
- * Rendezvous hashing over routers: which of them is responsible for a key,
- * and who comes after it. All routers with the same view agree without asking.
+ * Ranks routers by rendezvous hashing, to find the router that is responsible for
+ * a key and its successors. All routers with the same view agree without communication.
  */
 import { hashText } from '../../hashing/index.js'
 import type { Member } from '../../types/index.js'
 
-/** A member is hashed once for as long as its record lives; hashing 360 names for each key would cost more than all else here. */
+/** Caches the hash of a member's name for the lifetime of its record: hashing 360 names per key would dominate the cost of ranking. */
 const memberHashes = new WeakMap<Member, number>()
 
 const hashMember = (member: Member): number => {
@@ -16,7 +16,7 @@
   return hash
 }
 
-/** The finalizer of MurmurHash3: every bit of the input changes about half of the output. */
+/** The finalizer of MurmurHash3: each input bit affects about half of the output bits. */
 const mix = (value: number): number => {
   const first = Math.imul(value ^ (value >>> 16), 0x85ebca6b)
   const second = Math.imul(first ^ (first >>> 13), 0xc2b2ae35)
@@ -25,17 +25,17 @@
 
 type Ranked = { readonly member: Member, readonly score: number }
 
-/** Scores are compared first, names only to break a tie. */
+/** Compares scores; names break ties. */
 const isBefore = (one: Ranked, other: Ranked): boolean =>
   one.score !== other.score ? one.score > other.score : one.member.nodeId < other.member.nodeId
 
 /**
- * Finds the routers that come first for a key.
+ * Finds the highest-ranked routers for a key.
  *
- * @param key - What somebody has to be responsible for.
+ * @param key - The key to find responsible routers for.
  * @param members - The routers to choose from, in any order.
- * @param count - How many to find; 1 by default.
- * @returns At most `count` members, the first choice first.
+ * @param count - Maximum number of routers; 1 by default.
+ * @returns At most `count` members, highest rank first.
  *
  * @example
  * rankMembers('engine-1', members, 2) // => the two routers that probe engine-1
--- a/src/decisions/readClocks/index.ts
+++ b/src/decisions/readClocks/index.ts
@@ -4,7 +4,7 @@
  * Reads all clocks at one moment.
  *
  * @param clocks - The machine's clocks.
- * @returns What they show, in milliseconds.
+ * @returns The value of each clock, in milliseconds.
  *
  * @example
  * readClocks({ monotonic: () => 1, wall: () => 2, boot: () => 3 }) // => { monotonic: 1, wall: 2, boot: 3 }
--- a/src/decisions/refuteRumour/index.ts
+++ b/src/decisions/refuteRumour/index.ts
@@ -1,18 +1,18 @@
 /**
- * How a router that hears itself called suspect or dead takes that back.
+ * Lets a router refute reports that it is suspect or dead.
  */
 import type { Member } from '../../types/index.js'
 
 /**
- * Compares this router's own record with one that others hold of it.
+ * Compares this router's own record with a received record about it.
  *
- * A router that was paused is declared dead by its peers, and wakes without
- * knowing. Its record with the old incarnation would lose against theirs for
- * ever; one incarnation more wins. The same holds for a restarted router whose
- * wall clock went backwards, so that others hold a higher incarnation.
+ * A router that was paused is declared dead by its peers, and resumes without
+ * noticing. Its record with the old incarnation would always lose against
+ * theirs; a higher incarnation wins. The same applies to a restarted router
+ * whose wall clock was set back, so that peers have a higher incarnation.
  *
  * @param self - This router's own record.
- * @param heard - What another router says of this one.
+ * @param heard - A record of this router that another router sent.
  * @returns The own record under a higher incarnation, or `self` when nothing has to be refuted.
  *
  * @example
--- a/src/decisions/selectClaimShard/index.ts
+++ b/src/decisions/selectClaimShard/index.ts
@@ -1,10 +1,10 @@
-/** Which shard of the claim log a key belongs to: the same on every node. */
+/** Maps keys to shards of the claim log; all nodes compute the same shard. */
 
 const FNV_OFFSET_BASIS = 0x811c9dc5
 const FNV_PRIME = 0x01000193
 
 /**
- * Selects the claim log's shard for a key by its FNV-1a hash.
+ * Selects the shard of the claim log for a key by the key's FNV-1a hash.
  *
  * @param keyId - The key, scoped to its client account.
  * @param shardCount - Number of shards, at least 1. All nodes must agree on it.
--- a/src/decisions/selectForwardedHeaders/index.ts
+++ b/src/decisions/selectForwardedHeaders/index.ts
@@ -1,13 +1,13 @@
-/** Which of a caller's headers a backend server may see. */
+/** Selects the request headers that are forwarded to a backend server. */
 import type { Headers } from '../../types/index.js'
 
-/** Headers of one connection, which RFC 9110 forbids to pass on. */
+/** Hop-by-hop headers, which RFC 9110 forbids to forward. */
 export const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'proxy-connection',
   'te', 'trailer', 'trailers', 'transfer-encoding', 'upgrade', 'http2-settings'
 ])
 
-/** Set by the router, private to it, or decided by the body that it sends. */
+/** Headers that the router sets itself, keeps private, or derives from the body that it sends. */
 const WITHHELD_HEADERS: ReadonlySet<string> = new Set([
   'authorization', 'cookie', 'host', 'content-length', 'expect', 'forwarded', 'via', 'x-real-ip',
   'accept-encoding', 'idempotency-key', 'x-request-id', 'x-deadline-ms', 'x-priority', 'x-client-account', 'x-not-run'
@@ -16,7 +16,7 @@
 const WITHHELD_PREFIXES = ['x-chat-', 'x-forwarded-', 'proxy-'] as const
 
 /**
- * The names that a Connection header declares to be of one connection.
+ * Reads the names of the headers that a Connection header declares as hop-by-hop.
  *
  * @param headers - Headers of a message, in lower case.
  * @returns Lower-case names.
@@ -30,13 +30,14 @@
 }
 
 /**
- * Selects the headers that go on to a backend server.
+ * Selects the headers to forward to a backend server.
  *
- * Names with an underscore are withheld too: many servers read `x_client_account`
- * and `x-client-account` as one, and a caller could pass for another account.
+ * Names with an underscore are withheld too: many servers treat `x_client_account`
+ * and `x-client-account` as the same header, so a caller could impersonate
+ * another client account.
  *
  * @param headers - The caller's headers, in lower case.
- * @returns The headers to forward; the router's own come on top of them.
+ * @returns The headers to forward; the router adds its own.
  *
  * @example
  * selectForwardedHeaders({ accept: 'text/plain', cookie: 'a=b' }) // => { accept: 'text/plain' }
--- a/src/decisions/selectForwardedHeaders/test.ts
+++ b/src/decisions/selectForwardedHeaders/test.ts
@@ -2,7 +2,7 @@
 import { selectForwardedHeaders } from './index.js'
 
 describe('selectForwardedHeaders', () => {
-  it('forwards what the backend server needs', () => {
+  it('forwards other headers unchanged', () => {
     const headers = { accept: 'a', 'content-type': 'b', 'x-shop': 'c' }
     expect(selectForwardedHeaders(headers)).toEqual(headers)
   })
@@ -15,7 +15,7 @@
     expect(selectForwardedHeaders({ [name]: 'x' })).toEqual({})
   })
 
-  it('withholds what the Connection header names', () => {
+  it('withholds headers that the Connection header names', () => {
     expect(selectForwardedHeaders({ connection: 'close, X-Secret ,,', 'x-secret': 's', accept: 'a' })).toEqual({ accept: 'a' })
   })
 })
--- a/src/decisions/selectGatewayRoute/index.ts
+++ b/src/decisions/selectGatewayRoute/index.ts
@@ -1,4 +1,4 @@
-/** The route of a request: by host, then by the longest prefix of its path. */
+/** Finds the route of a request by its host, then by the longest matching path prefix. */
 import type { GatewayRoute } from '../../types/index.js'
 
 const PORT_SUFFIX = /:\d+$/
@@ -6,10 +6,10 @@
 /**
  * Finds the route of a request.
  *
- * @param index - Made by `indexRoutes`.
- * @param host - The caller's host, with or without a port.
- * @param target - Path with query.
- * @returns The route with the longest prefix, or `undefined`.
+ * @param index - Routes by host, as returned by `indexRoutes`.
+ * @param host - The request's Host header, with or without a port.
+ * @param target - Request path with query.
+ * @returns The route with the longest matching prefix, or `undefined` when none matches.
  *
  * @example
  * selectGatewayRoute(indexRoutes([]), 'shop.example', '/chat/1') // => undefined
--- a/src/decisions/selectGatewayRoute/test.ts
+++ b/src/decisions/selectGatewayRoute/test.ts
@@ -12,10 +12,10 @@
 const select = (host: string, target: string): string | undefined => selectGatewayRoute(index, host, target)?.name
 
 describe('selectGatewayRoute', () => {
-  test('takes the longest prefix', () => expect(select('shop.example', '/chat/deep/1')).toBe('deep'))
-  test('takes only routes of the host', () => expect(select('desk.example', '/chat/deep/1')).toBe('other'))
-  test('reads the host without its port and in any case', () => expect(select('SHOP.example:8080', '/chat/1')).toBe('chat'))
-  test('leaves the query out of the path', () => expect(select('desk.example', '/x?/chat/')).toBeUndefined())
-  test('needs the prefix\'s last slash', () => expect(select('desk.example', '/chat')).toBeUndefined())
+  test('selects the longest prefix', () => expect(select('shop.example', '/chat/deep/1')).toBe('deep'))
+  test('selects only routes of the host', () => expect(select('desk.example', '/chat/deep/1')).toBe('other'))
+  test('ignores the port and the case of the host', () => expect(select('SHOP.example:8080', '/chat/1')).toBe('chat'))
+  test('ignores the query', () => expect(select('desk.example', '/x?/chat/')).toBeUndefined())
+  test('requires the trailing slash of the prefix', () => expect(select('desk.example', '/chat')).toBeUndefined())
   test('finds nothing for an unknown host', () => expect(select('none.example', '/chat/1')).toBeUndefined())
 })
--- a/src/decisions/selectHeartbeatTargets/_lib/orderAsRing.ts
+++ b/src/decisions/selectHeartbeatTargets/_lib/orderAsRing.ts
@@ -1,4 +1,4 @@
-/** The order of members on the ring from which watchers are found. */
+/** Orders members on the hash ring that determines who watches whom. */
 import { hashText } from '../../../hashing/index.js'
 import type { Member } from '../../../types/index.js'
 
--- a/src/decisions/selectHeartbeatTargets/index.ts
+++ b/src/decisions/selectHeartbeatTargets/index.ts
@@ -1,44 +1,44 @@
 /**
- * Whom a router sends heartbeats to. In a small fleet that is everybody. In a
- * large one it is a few fixed watchers, who notice its silence, and a few
- * others picked at random, who carry news on.
+ * Selects the peers to which a router sends heartbeats. In a small fleet these are
+ * all peers. In a large one they are a few fixed watchers, which detect missed
+ * heartbeats, and a few random peers, which spread gossip updates.
  */
 import { orderAsRing } from './_lib/orderAsRing.js'
 import type { Member } from '../../types/index.js'
 
 export type HeartbeatFanOut = {
-  /** Up to so many peers each router sends to all of them. */
+  /** Up to this number of peers, each router sends heartbeats to all peers. */
   readonly fullMeshPeers: number
-  /** Watchers within the own zone. */
+  /** Number of watchers in the router's own zone. */
   readonly zoneWatchers: number
-  /** Watchers in other zones, who notice that a whole zone fell silent. */
+  /** Number of watchers in other zones, which detect that a complete zone is not responding. */
   readonly remoteWatchers: number
   readonly randomZonePeers: number
   readonly randomRemotePeers: number
 }
 
 export type HeartbeatTargets = {
-  /** Peers that get a heartbeat at each tick; they notice when it stays away. */
+  /** Peers that get a heartbeat at each tick and detect missed heartbeats of this router. */
   readonly watchers: readonly Member[]
-  /** Peers whose heartbeat this router must get at each tick. */
+  /** Peers whose heartbeat this router expects at each tick. */
   readonly watched: readonly Member[]
-  /** Peers picked for this tick only. */
+  /** Peers selected at random for this tick only. */
   readonly picked: readonly Member[]
 }
 
 /**
  * Selects the receivers of the next heartbeat.
  *
- * Watchers are the next members on a ring ordered by the hash of the node's
- * name: first those of the own zone, then the next of other zones. Each router
- * finds its own watchers and those that it watches from the same ring, so all
- * agree as far as their views of the members do.
+ * Watchers are a router's successors on a hash ring of the node names: first those
+ * of its own zone, then those of other zones. Each router computes its watchers and
+ * the peers that it watches from the same ring, so routers agree on who watches whom
+ * as far as their views of the members agree.
  *
  * @param self - This router.
  * @param peers - The other routers that are not dead.
  * @param fanOut - The numbers of receivers.
- * @param nextRandom - Random numbers in [0, 1).
- * @returns The watchers, the watched, and the peers picked at random.
+ * @param nextRandom - Returns random numbers in [0, 1).
+ * @returns The watchers, the watched peers, and the random peers.
  *
  * @example
  * selectHeartbeatTargets(self, [peer], fanOut, random.next).watchers // => [peer]
@@ -66,7 +66,7 @@
 
 type Relation = (one: Member, other: Member) => boolean
 
-/** Walks the ring from a member onwards, taking those that stand in the relation to it. */
+/** Walks the ring from a member onwards and collects the members that are related to it. */
 const findSuccessors = (ring: readonly Member[], member: Member, count: number, isRelated: Relation): readonly Member[] => {
   const start = ring.indexOf(member)
   const found: Member[] = []
@@ -78,9 +78,9 @@
 }
 
 /**
- * The members of other zones that have this router among their watchers. Going
- * back on the ring, a member reaches this router as long as fewer than `count`
- * members of zones other than its own stand between them.
+ * Finds the members of other zones that have this router among their watchers. Going
+ * backwards on the ring, these are the members with fewer than `count` members of
+ * zones other than their own between them and this router.
  */
 const findWatchedFar = (ring: readonly Member[], self: Member, count: number, isFar: Relation): readonly Member[] => {
   const start = ring.indexOf(self)
--- a/src/decisions/selectHeartbeatTargets/test.ts
+++ b/src/decisions/selectHeartbeatTargets/test.ts
@@ -19,7 +19,7 @@
     expect(selectHeartbeatTargets(self!, peers, FAN_OUT, () => 0)).toEqual({ watchers: peers, watched: peers, picked: [] })
   })
 
-  it('selects nobody for a node that is alone', () => {
+  it('selects no peer for a single node', () => {
     expect(selectHeartbeatTargets(createMember(0, 1), [], FAN_OUT, () => 0).watchers).toEqual([])
   })
 
@@ -41,7 +41,7 @@
     }
   })
 
-  it('sends to no more peers in a large fleet than the fan-out says', () => {
+  it('selects at most the fan-out number of peers in a large fleet', () => {
     for (const { watchers, picked } of selectAll(createFleet(120, 8)).values()) expect(watchers.length + picked.length).toBeLessThanOrEqual(5)
   })
 })
--- a/src/decisions/selectProbers/index.ts
+++ b/src/decisions/selectProbers/index.ts
@@ -1,6 +1,6 @@
 /**
- * Which routers read the load report of which backend servers, so that probes
- * stay within a budget whatever the size of the fleet.
+ * Assigns backend servers to the routers that read their load reports, so that
+ * probes stay within a budget whatever the size of the fleet.
  */
 import { rankMembers } from '../rankMembers/index.js'
 import type { Member } from '../../types/index.js'
@@ -8,14 +8,14 @@
 export type ProbedServer = { readonly name: string, readonly availabilityZone: string }
 
 export type ProbeBudget = {
-  /** Time between two reads of one server by one router, in milliseconds. */
+  /** Time between two probes of one server by one router, in milliseconds. */
   readonly intervalMs: number
-  /** Reads that each router may make a second, on average. */
+  /** Average number of probes per second that each router may make. */
   readonly probesPerSecond: number
 }
 
 export type Probers = {
-  /** Routers that read this server, the first responsible one first. */
+  /** Routers that probe each server, by server name; highest rank first. */
   readonly byServer: ReadonlyMap<string, readonly Member[]>
   /** The interval that the budget allows, in milliseconds. */
   readonly intervalMs: number
@@ -24,14 +24,14 @@
 /**
  * Selects the probers of every backend server of one availability zone.
  *
- * The routers of the server's own zone probe it, and those of other zones only
- * when it has none. As many routers read a server as the budget allows; when
- * it does not even allow one, the interval is stretched.
+ * A server is probed by the routers of its own zone, and by those of other zones
+ * only when its zone has none. As many routers probe a server as the budget allows;
+ * when it does not allow even one, the interval is extended.
  *
  * @param servers - The backend servers of one zone.
- * @param routers - The live routers of that zone, or all live ones when it has none.
- * @param budget - Interval and number of probes.
- * @returns The probers of each server, and the interval to keep.
+ * @param routers - The live routers of that zone, or all live routers when it has none.
+ * @param budget - Interval and rate of probes.
+ * @returns The probers of each server, and the interval between probes in milliseconds.
  *
  * @example
  * selectProbers([server], [router], { intervalMs: 1000, probesPerSecond: 4 }).byServer.get(server.name) // => [router]
--- a/src/decisions/selectProbers/test.ts
+++ b/src/decisions/selectProbers/test.ts
@@ -16,7 +16,7 @@
     { routers: 45, servers: 75, probers: 2, intervalMs: 1000 },
     { routers: 1, servers: 8, probers: 1, intervalMs: 2000 },
     { routers: 0, servers: 8, probers: 0, intervalMs: 1000 }
-  ])('lets $probers of $routers routers read each of $servers servers', ({ routers, servers, probers, intervalMs }) => {
+  ])('lets $probers of $routers routers probe each of $servers servers', ({ routers, servers, probers, intervalMs }) => {
     const selected = selectProbers(createServers(servers), createRouters(routers), BUDGET)
     expect([...selected.byServer.values()].map((each) => each.length)).toEqual(createServers(servers).map(() => probers))
     expect(selected.intervalMs).toBe(intervalMs)
--- a/src/decisions/selectReaders/index.ts
+++ b/src/decisions/selectReaders/index.ts
@@ -1,27 +1,27 @@
-/** Which nodes read the platform for the others, and whom the others ask. */
+/** Selects the nodes that read the platform for others, and the nodes that the others query. */
 import { selectZoneReaders } from '../selectZoneReaders/index.js'
 import type { Member } from '../../types/index.js'
 
 export type Readers = {
-  /** Those of the zone, who read the platform for it. */
+  /** Readers of the zone, which read the platform on its behalf. */
   readonly own: readonly Member[]
-  /** Whom a node of the zone asks by turns: its own readers, and one of the next zone. */
+  /** Nodes that the zone's other nodes query in turn: its own readers, and a reader of the next zone. */
   readonly asked: readonly Member[]
 }
 
-/** With other zones in reach, the reader of one of them is the second source. */
+/** While other zones are reachable, the reader of one of them is the second source. */
 const READERS_AMONG_ZONES = 1
-/** Of a zone that stands alone; two outlast the loss of one without a pause. */
+/** For a zone that reaches no other zone: with two readers, the loss of one causes no gap. */
 const READERS_ALONE = 2
 
 /**
- * Selects the readers of one availability zone. One reads for each zone, so that calls
- * follow the zones and not the nodes; its loss leaves the zone's nodes the reader of
- * the next zone, and a zone that is cut off has two of its own.
+ * Selects the readers of one availability zone. Each zone has one reader, so that the
+ * number of platform calls grows with the zones and not with the nodes. When it is lost,
+ * the zone's nodes use the reader of the next zone; an isolated zone has two readers.
  *
  * @param availabilityZone - The zone.
- * @param members - All members that are known, the deciding node included.
- * @returns Its readers, and whom its other nodes ask.
+ * @param members - All known members, including the deciding node.
+ * @returns The zone's readers, and the nodes that its other nodes query.
  *
  * @example
  * selectReaders('venkov-a', []) // => { own: [], asked: [] }
--- a/src/decisions/selectReaders/test.ts
+++ b/src/decisions/selectReaders/test.ts
@@ -14,23 +14,23 @@
 ]
 
 describe('selectReaders', () => {
-  test('takes the first node of a zone, and the next zone\'s for a second source', () => {
+  test('selects the first node of the zone, and the reader of the next zone as second source', () => {
     const { own, asked } = selectReaders('a', THREE_ZONES)
     expect(names(own)).toEqual(['a-1'])
     expect(names(asked)).toEqual(['a-1', 'b-1'])
   })
 
-  test('gives the last zone the reader of the first', () => {
+  test('wraps around from the last zone to the first', () => {
     expect(names(selectReaders('c', THREE_ZONES).asked)).toEqual(['c-1', 'a-1'])
   })
 
-  test('has the next node read when the first is not live', () => {
+  test('selects the next node as reader when the first is not live', () => {
     const members = [createMember('a-1', 'a', 'suspect'), ...THREE_ZONES.slice(1)]
     expect(names(selectReaders('a', members).own)).toEqual(['a-2'])
   })
 
-  // A zone is cut off: its nodes hold all others dead, and their reader may be lost as well.
-  test('takes two readers where no other zone is in reach', () => {
+  // In a network partition, the nodes of an isolated zone consider all others dead, and may lose their reader as well.
+  test('selects two readers when no other zone is reachable', () => {
     const members = THREE_ZONES.map((member) => member.availabilityZone === 'a' ? member : { ...member, state: 'dead' as const })
     const { own, asked } = selectReaders('a', members)
     expect(names(own)).toEqual(['a-1', 'a-2'])
--- a/src/decisions/selectReturnedHeaders/test.ts
+++ b/src/decisions/selectReturnedHeaders/test.ts
@@ -6,7 +6,7 @@
     expect(selectReturnedHeaders({ [name]: 'x', etag: 'e' })).toEqual({ etag: 'e' })
   })
 
-  it('keeps the cookies of a plain service but not one in the name of ours', () => {
+  it('keeps the cookies of a plain service, except one with the name of the chat cookie', () => {
     expect(selectReturnedHeaders({ 'set-cookie': 'a=1; Path=/\ndotterelspoke-chat=forged\nb=2' })).toEqual({ 'set-cookie': 'a=1; Path=/\nb=2' })
   })
 })
--- a/src/decisions/selectShardWriter/index.ts
+++ b/src/decisions/selectShardWriter/index.ts
@@ -1,4 +1,4 @@
-/** Which node is asked to append to a shard of the claim log. */
+/** Selects the node that appends to a shard of the claim log. */
 
 const mix = (value: number): number => {
   let mixed = Math.imul(value ^ (value >>> 16), 0x7feb352d)
@@ -13,10 +13,10 @@
 }
 
 /**
- * Selects a shard's preferred writer by rendezvous hash over the live nodes.
+ * Selects a shard's preferred writer by rendezvous hashing over the live nodes.
  *
- * Nodes whose lists of live nodes differ may prefer different writers. That
- * costs a conflict at the platform and never a double claim.
+ * Nodes whose lists of live nodes differ may select different writers. This can
+ * cause a write conflict at the platform, but never a duplicate claim.
  *
  * @param nodeIds - The live nodes, in any order.
  * @param shard - Shard number, from 0.
--- a/src/decisions/selectShardWriter/test.ts
+++ b/src/decisions/selectShardWriter/test.ts
@@ -20,7 +20,7 @@
     expect(new Set(SHARDS.map((shard) => selectShardWriter(['r1', 'r2', 'r3'], shard))).size).toBe(3)
   })
 
-  it('finds no writer where nobody lives', () => {
+  it('returns undefined without live nodes', () => {
     expect(selectShardWriter([], 0)).toBeUndefined()
   })
 })
--- a/src/decisions/selectTarget/index.ts
+++ b/src/decisions/selectTarget/index.ts
@@ -1,11 +1,11 @@
-/** Which of a route's services takes a request, when the route is split by weight. */
+/** Selects the service for a request of a route that is split between services by weight. */
 import type { GatewayTarget } from '../../types/index.js'
 
 /**
- * Selects a target with the chance of its weight.
+ * Selects a target with a probability proportional to its weight.
  *
- * @param targets - At least one; weights of 0 are never selected unless all are 0.
- * @param share - A number in [0, 1).
+ * @param targets - At least one target. Targets of weight 0 are not selected, unless all weights are 0.
+ * @param share - A random number in [0, 1).
  * @returns The selected target.
  *
  * @example
@@ -19,6 +19,6 @@
     if (left < 0) return target
   }
   const last = targets.at(-1)
-  if (last === undefined) throw new Error('a route has no target')
+  if (last === undefined) throw new Error('cannot select a target: the route has none')
   return last
 }
--- a/src/decisions/selectVerdict/index.ts
+++ b/src/decisions/selectVerdict/index.ts
@@ -1,14 +1,14 @@
-/** Why a request finds no backend server, when each of its service is closed to it for a reason of its own. */
+/** Selects the reason to report when every backend server of a service is ineligible, each for a reason of its own. */
 import type { InstanceVerdict } from '../judgeInstance/index.js'
 
-/** What would change soonest comes first: a caller is told when to come back by it. */
+/** Ordered by how soon the reason can pass, as Retry-After is derived from the selected reason. */
 const SOONEST_FIRST: readonly InstanceVerdict[] = ['open', 'warmingUp', 'zoneDrained', 'regionNotAllowed']
 
 /**
- * Finds the reason for which no server of a service may get a request.
+ * Selects the reason why no server of a service may get a request.
  *
- * @param verdicts - Those of all its servers.
- * @returns The one that is over soonest, or `undefined` without any.
+ * @param verdicts - The eligibility of each server of the service.
+ * @returns The one that can pass soonest, `'open'` when a server is eligible, or `undefined` without servers.
  *
  * @example
  * selectVerdict(['zoneDrained', 'warmingUp']) // => 'warmingUp'
--- a/src/decisions/selectZoneReaders/index.ts
+++ b/src/decisions/selectZoneReaders/index.ts
@@ -1,17 +1,17 @@
-/** Which nodes of a zone read the platform for the others. */
+/** Selects the nodes of a zone that read the platform on behalf of the others. */
 import { compareCapacity } from '../compareCapacity/index.js'
 import type { Member } from '../../types/index.js'
 
 /**
  * Selects the readers of one availability zone: its live nodes on the largest
- * VMs, the first by id among equals, so that all nodes agree without a word.
- * While they disagree about who is live there are a few readers more or fewer,
- * which costs calls or seconds.
+ * VMs, ties broken by id, so that all nodes agree without communication. While
+ * their views of the live nodes differ there are a few readers too many or too
+ * few, which costs additional calls or a delay of seconds.
  *
  * @param availabilityZone - The zone.
- * @param members - All members that are known, the deciding node included.
- * @param readersPerZone - How many are wanted; two outlast the loss of one without a pause.
- * @returns The readers, the first choice first.
+ * @param members - All known members, including the deciding node.
+ * @param readersPerZone - Number of readers; with two, the loss of one causes no gap.
+ * @returns The readers, the preferred one first.
  *
  * @example
  * selectZoneReaders('venkov-a', [], 2) // => []
--- a/src/decisions/selectZoneReaders/test.ts
+++ b/src/decisions/selectZoneReaders/test.ts
@@ -8,31 +8,31 @@
 const select = (members: readonly Member[]): readonly string[] => selectZoneReaders('venkov-a', members, 2).map(({ nodeId }) => nodeId)
 
 describe('selectZoneReaders', () => {
-  test('takes the first nodes by id, in whatever order they are known', () => {
+  test('selects the first nodes by id, whatever the order of the list', () => {
     expect(select([createMember('c'), createMember('a'), createMember('b')])).toEqual(['a', 'b'])
   })
 
-  // A reader on a slow link handed a large configuration to its zone for seconds.
-  test('takes the largest VMs first, while they are live', () => {
+  // A reader on a small VM took seconds to send a large configuration to its zone over its slow link.
+  test('prefers the largest VMs, while they are live', () => {
     const large = createMember('z', { millicores: 1_350 })
     const small = [createMember('a', { millicores: 324 }), createMember('b', { millicores: 324 })]
     expect(select([...small, large])).toEqual(['z', 'a'])
     expect(select([...small, { ...large, state: 'suspect' }])).toEqual(['a', 'b'])
   })
 
-  test.each(['suspect', 'leaving', 'dead'] as const)('passes over a %s node', (state) => {
+  test.each(['suspect', 'leaving', 'dead'] as const)('skips a %s node', (state) => {
     expect(select([createMember('a', { state }), createMember('b'), createMember('c')])).toEqual(['b', 'c'])
   })
 
-  test('passes over nodes of other zones', () => {
+  test('skips nodes of other zones', () => {
     expect(select([createMember('a', { availabilityZone: 'venkov-b' }), createMember('b')])).toEqual(['b'])
   })
 
-  test('takes fewer where there are fewer', () => {
+  test('selects fewer readers when the zone has fewer nodes', () => {
     expect(select([createMember('a')])).toEqual(['a'])
   })
 
-  test('leaves the list of members as it was', () => {
+  test('does not change the list of members', () => {
     const members = [createMember('b'), createMember('a')]
     select(members)
     expect(members.map(({ nodeId }) => nodeId)).toEqual(['b', 'a'])
--- a/src/decisions/serializeSheet/index.ts
+++ b/src/decisions/serializeSheet/index.ts
@@ -1,4 +1,4 @@
-/** Writing of a sheet in its one canonical form. */
+/** Serializes a sheet to its canonical form. */
 import { formatIsoTime } from '../../kernel/index.js'
 import { canonicalizeSheet } from '../canonicalizeSheet/index.js'
 import { recordKinds, sheetColumns } from '../parseSheet/_lib/sheetColumns.js'
@@ -26,13 +26,13 @@
 }
 
 /**
- * Writes a sheet as CSV in canonical form: all columns, records by kind and
- * name, defaults spelled out, times in UTC.
+ * Serializes a sheet as CSV in canonical form: all columns, records sorted by
+ * kind and name, explicit defaults, times in UTC.
  *
- * Two sheets that mean the same give the same text, whatever the order of
- * their rows, and `parseSheet` reads the text back.
+ * Equivalent sheets give the same text, whatever the order of their rows, and
+ * `parseSheet` parses the text back to the sheet.
  *
- * @param sheet - A sound sheet.
+ * @param sheet - A valid sheet.
  * @returns CSV text with a header row and a line feed after each row.
  *
  * @example
--- a/src/decisions/shareFairly/index.ts
+++ b/src/decisions/shareFairly/index.ts
@@ -1,17 +1,17 @@
-/** Whose waiting request is next when a backend pool is full. */
+/** Selects the client account whose waiting request is sent next when a service is full (weighted fair queuing). */
 
 /** A client account with at least one waiting request. */
 export type Contender = {
   readonly clientAccount: string
-  /** Its share relative to the others'. Above 0. */
+  /** Its share relative to those of other accounts. Greater than 0. */
   readonly weight: number
-  /** Work of the whole fleet for it lately, in tokens. */
+  /** Recent work of the complete fleet for the account, in tokens. */
   readonly usage: number
-  /** Monotonic milliseconds at which its oldest waiting request came. */
+  /** Arrival time of its oldest waiting request, in monotonic milliseconds. */
   readonly waitingSince: number
 }
 
-/** Work over weight: equal for all contenders when shares are fair. */
+/** Work divided by weight; equal for all accounts when shares are fair. */
 export const measureUse = (contender: Contender): number => contender.usage / contender.weight
 
 const compareContenders = (left: Contender, right: Contender): number => {
@@ -21,14 +21,14 @@
 }
 
 /**
- * Picks the contender that had the least work for its weight; of equals the
- * one that has waited longest.
+ * Selects the account with the least recent work relative to its weight; of equal
+ * ones the account that has waited longest.
  *
- * Work and not requests is compared, so an account gains nothing by cutting
- * its work into small requests, nor loses by sending large ones.
+ * Tokens are compared, not requests, so an account gains nothing by splitting its
+ * work into small requests and loses nothing by sending large ones.
  *
  * @param contenders - Accounts with waiting requests, in any order.
- * @returns The account to serve next; `undefined` when nobody waits.
+ * @returns The account to serve next; `undefined` when none is waiting.
  *
  * @example
  * shareFairly([
--- a/src/decisions/shareWarmUp/index.ts
+++ b/src/decisions/shareWarmUp/index.ts
@@ -1,37 +1,37 @@
 /**
- * Who may send to a backend server that warms up, and how much. The load it
- * answers: a server that has just started is the home of prompts for which every
- * node of a large fleet has requests at once, and it crashes under them. All nodes
- * together stay under the bound without asking each other: a few are responsible
- * for the server by their rank, each for a fixed part, so that a node which is
- * silent, cut off or frozen spends its own part at most.
+ * Computes how many nodes may send requests to a backend server that is warming up,
+ * and how many each. Load pattern: a recently started server is the home of prompts
+ * for which every node of a large fleet has requests at once, and the burst crashes it.
+ * The nodes stay under the bound without coordination: a few are responsible for the
+ * server by their rank, each for a fixed share, so that a node that is not responding,
+ * partitioned or frozen uses its own share at most.
  */
 
 export type WarmUpBound = {
-  /** What a warming server bears. */
+  /** Sustained rate that a warming server can handle. */
   readonly requestsPerSecond: number
-  /** Multiple of it that it may get in any one second, and requests beyond that. */
+  /** A server may get `excess` times the rate plus `slack` requests in any one second. */
   readonly excess: number
   readonly slack: number
 }
 
 export type WarmUpShares = {
-  /** Nodes that send to one warming server. */
+  /** Number of nodes that send to one warming server. */
   readonly nodes: number
   /** Requests that each of them may send in any one second. */
   readonly requestsEach: number
 }
 
-/** Two halves of a split fleet that know nothing of each other rank different nodes first: both may be at their part. */
+/** The two halves of a partitioned fleet rank different nodes first, and both may use their full share. */
 const DISJOINT_VIEWS = 2
-/** A server that one node alone may send to gets nothing while that one is away. */
+/** Several nodes may send, as a server with a single sender gets no requests while that node is down. */
 const NODES_AT_MOST = 4
 
 /**
- * Shares the bound.
+ * Splits the bound between nodes.
  *
- * @param bound - What a warming server may get, in requests a second.
- * @returns How many nodes send, and how much each; no node where not one request fits.
+ * @param bound - Rate limit of a warming server.
+ * @returns The number of nodes that send, and the requests per second of each; 0 nodes when the bound is below one request.
  *
  * @example
  * shareWarmUp({ requestsPerSecond: 10, excess: 1.5, slack: 5 }) // => { nodes: 4, requestsEach: 2 }
--- a/src/decisions/signChatHint/index.ts
+++ b/src/decisions/signChatHint/index.ts
@@ -1,10 +1,10 @@
 /**
- * The hint that a chat's answer carries and its next request brings back: the
- * backend server that served it, with a message authentication code over the
- * client account, the chat and the server.
+ * Signs chat hints. A hint is sent with each response of a chat and returned with
+ * its next request. It names the backend server that served the chat, with a message
+ * authentication code over the client account, the chat and the server.
  */
 
-/** Computes and checks message authentication codes under the fleet's key. */
+/** Computes and verifies message authentication codes with the fleet's key. */
 export type MessageAuthenticator = {
   readonly sign: (message: string) => string
   /** Compares in constant time. */
@@ -20,11 +20,11 @@
 const HINT_VERSION = 'v1'
 
 /**
- * The text that the code covers. Parts are joined as JSON, so that no two
- * hints share a text.
+ * Builds the message that the code authenticates. Parts are encoded as JSON, so that
+ * different hints give different messages.
  *
- * @param hint - The hint to describe.
- * @returns The text to authenticate.
+ * @param hint - The hint to encode.
+ * @returns The message to authenticate.
  *
  * @example
  * describeChatHint({ clientAccount: 'a', chatKey: 'c', backendServer: 's' }) // => '["v1","a","c","s"]'
@@ -33,11 +33,11 @@
   JSON.stringify([HINT_VERSION, hint.clientAccount, hint.chatKey, hint.backendServer])
 
 /**
- * Writes a hint in the form that callers carry.
+ * Encodes and signs a hint for the caller.
  *
  * @param hint - The chat and the backend server that served it.
  * @param authenticator - Computes the code.
- * @returns `v1.<base64url of the server's name>.<code>`, safe in a header and a cookie.
+ * @returns `v1.<base64url of the server's name>.<code>`, which is valid in a header and in a cookie.
  *
  * @example
  * signChatHint({ clientAccount: 'a', chatKey: 'c', backendServer: 's' }, authenticator) // => 'v1.cw.Zm9v...'
--- a/src/decisions/spendRetryBudget/index.ts
+++ b/src/decisions/spendRetryBudget/index.ts
@@ -1,13 +1,13 @@
-/** The spending side of the retry budget; `creditRetryBudget` fills it. */
+/** Takes tokens from the retry budget; `creditRetryBudget` adds them. */
 import type { RetryBudget } from '../creditRetryBudget/index.js'
 
 export type RetrySpending = { readonly granted: boolean, readonly budget: RetryBudget }
 
 /**
- * Takes one token for one retry, when there is one.
+ * Takes one token for a retry, if one is available.
  *
- * @param budget - The budget so far.
- * @returns Whether the retry is granted, and the budget after it.
+ * @param budget - The current budget.
+ * @returns Whether the retry is granted, and the remaining budget.
  *
  * @example
  * spendRetryBudget({ tokens: 1.5 }) // => { granted: true, budget: { tokens: 0.5 } }
--- a/src/decisions/spendRetryBudget/test.ts
+++ b/src/decisions/spendRetryBudget/test.ts
@@ -12,7 +12,7 @@
     expect(spendRetryBudget({ tokens })).toEqual({ granted, budget: { tokens: left } })
   })
 
-  it('holds retries to their share of the first attempts', () => {
+  it('limits retries to their share of the first attempts', () => {
     let budget: RetryBudget = { tokens: 0 }
     let retries = 0
     for (let attempt = 0; attempt < 1_000; attempt += 1) {
--- a/src/decisions/splitSheetIntoChunks/index.ts
+++ b/src/decisions/splitSheetIntoChunks/index.ts
@@ -1,30 +1,30 @@
 /**
- * Splitting of a sheet into chunks under their content hash. A record's bucket
- * follows from its kind and name alone, so a changed row changes one chunk and
- * a node fetches only that one.
+ * Splits a sheet into content-addressed chunks. A record's bucket depends only on
+ * its kind and name, so a changed row changes one chunk and a node fetches only
+ * that chunk.
  */
 import { canonicalizeSheet } from '../canonicalizeSheet/index.js'
 import type { ConfigurationChunk, Sheet } from '../../types/index.js'
 
-/** Chunks near this size make a changed row cheap; the list of their hashes in the root grows as they shrink. */
+/** Small chunks make a changed row cheap to fetch, but more of them make the list of hashes in the root longer. */
 const TARGET_CHUNK_BYTES = 16_384
 const MAXIMUM_BUCKETS = 4_096
 const BUCKET_HASH_DIGITS = 8
 
-/** Hexadecimal hash of a text's UTF-8 form or of bytes, uniform over its digits. */
+/** Computes the hexadecimal hash of bytes or of the UTF-8 encoding of a text; its digits are uniformly distributed. */
 export type HashContent = (content: string | Uint8Array) => string
 
 /**
  * Splits a sheet into chunks.
  *
- * The number of buckets is a power of two. It stays as it was while chunks
- * are between a quarter of and twice the target size, so that a sheet whose
- * size swings about a threshold does not change all of its chunks each time.
+ * The number of buckets is a power of two. It does not change while the mean chunk
+ * size is between a quarter of and twice the target size, so that a sheet whose
+ * size varies around a threshold does not change all of its chunks each time.
  *
- * @param sheet - A sound sheet.
+ * @param sheet - A valid sheet.
  * @param hashContent - The content hash, SHA-256 in the fleet.
  * @param previousBuckets - Number of chunks of the sheet that this one replaces.
- * @returns The chunks in bucket order; empty buckets are chunks too.
+ * @returns The chunks in bucket order, including those of empty buckets.
  *
  * @example
  * splitSheetIntoChunks(sheet, computeSha256).map(({ hash }) => hash)
@@ -43,7 +43,7 @@
 const listLines = (sheet: Sheet): readonly RecordLine[] => (Object.keys(sheet) as (keyof Sheet)[]).sort().flatMap((list) =>
   sheet[list].map((record) => ({ key: `${list} ${record.name}`, text: `["${list}",${stringifyWithSortedKeys(record)}]` })))
 
-/** Records are flat, so that a list of their own keys covers all that is written. */
+/** Records are flat, so the list of their own keys includes every key to serialize. */
 const stringifyWithSortedKeys = (record: object): string => JSON.stringify(record, Object.keys(record).sort())
 
 const chooseBucketCount = (bytes: number, previous?: number): number => {
--- a/src/decisions/splitSheetIntoChunks/test.ts
+++ b/src/decisions/splitSheetIntoChunks/test.ts
@@ -21,7 +21,7 @@
 }))
 
 describe('splitSheetIntoChunks', () => {
-  it.each([0, 1, 1_000, 17_000])('gives back a sheet of %i accounts when joined', (accounts) => {
+  it.each([0, 1, 1_000, 17_000])('round-trips a sheet of %i accounts', (accounts) => {
     const sheet = createSheet(accounts)
     expect(join(splitSheetIntoChunks(sheet, computeSha256))).toEqual(canonicalizeSheet(sheet))
   })
@@ -46,9 +46,9 @@
 
   it.each([
     ['keeps the number of chunks while it still fits', 1_000, 16, 16],
-    ['gives up a number that makes chunks too large', 17_000, 16, 256],
-    ['gives up a number that makes chunks too small', 10, 64, 1],
-    ['does not take over a number that is no power of two', 1_000, 12, 16]
+    ['replaces a number that makes chunks too large', 17_000, 16, 256],
+    ['replaces a number that makes chunks too small', 10, 64, 1],
+    ['replaces a number that is not a power of two', 1_000, 12, 16]
   ])('%s', (_, accounts, previous, expected) => {
     expect(splitSheetIntoChunks(createSheet(accounts), computeSha256, previous)).toHaveLength(expected)
   })
@@ -60,7 +60,7 @@
     ['a later format', '{"format":2,"records":[]}'],
     ['an unknown record', '{"format":1,"records":[["tills",{"name":"a"}]]}'],
     ['a record without its fields', '{"format":1,"records":[["services",{"name":"a"}]]}']
-  ])('refuses %s', (_, text) => {
+  ])('rejects %s', (_, text) => {
     expect(decodeChunk(new TextEncoder().encode(text))).toMatchObject({ ok: false, error: { kind: 'unreadableChunk' } })
   })
 })
--- a/src/decisions/summarizeChanges/index.ts
+++ b/src/decisions/summarizeChanges/index.ts
@@ -1,4 +1,4 @@
-/** Bounding of a list of changes, so that one huge sheet cannot fill an audit entry. */
+/** Limits the size of a list of changes, so that a very large sheet does not make an audit entry too large. */
 import type { AuditChange, SheetChange } from '../../types/index.js'
 
 const MAXIMUM_CHANGES = 100
@@ -8,7 +8,7 @@
  * Shortens a list of changes for the audit trail.
  *
  * @param changes - All changes of a sheet.
- * @returns At most 100 of them, each value cut to 400 characters.
+ * @returns At most 100 of them, each value truncated to 400 characters.
  *
  * @example
  * summarizeChanges([]) // => []
--- a/src/decisions/summarizeFleet/index.ts
+++ b/src/decisions/summarizeFleet/index.ts
@@ -1,35 +1,35 @@
-/** What an operator on call wants to see first, put together from what each router says. */
+/** Summarizes the statuses of all routers for an operator on call. */
 import type { BackendServerState, BackendServerStatus, NodeStatus, RequestLedger } from '../../types/index.js'
 
 export type BackendServerSummary = {
   readonly backendServer: string
-  /** The state that most routers see. */
+  /** The state that most routers report. */
   readonly state: BackendServerState
-  /** Routers that see another state, by name. */
+  /** Names of the routers that report another state. */
   readonly dissenting: readonly string[]
-  /** Requests in flight, summed over the routers that answered. */
+  /** Requests in flight, summed over the routers that responded. */
   readonly inFlight: number
-  /** Leaving, and nothing in flight any more at any router that answered. */
+  /** Leaving, with no requests in flight at any router that responded. */
   readonly isDrained: boolean
 }
 
 export type AccountSummary = {
   readonly clientAccount: string
-  /** Recent work over all routers that answered, decayed with time. */
+  /** Recent work in tokens, decayed over time and summed over the routers that responded. */
   readonly tokens: number
-  /** Whether it uses more than its weight's part of the work listed; `undefined` when the weights are not known. */
+  /** Whether it uses more of the listed work than its weight entitles it to; `undefined` when the weights are unknown. */
   readonly isOverShare?: boolean
 }
 
-/** Weights by client account, as the sheet has them. */
+/** Weights by client account, from the sheet. */
 export type AccountWeights = ReadonlyMap<string, number>
 
 export type FleetSummary = {
   readonly backendServers: readonly BackendServerSummary[]
-  /** The accounts that use the most now, largest first. */
+  /** The accounts by recent work, largest first. */
   readonly accounts: readonly AccountSummary[]
   readonly ledger: RequestLedger
-  /** Accepted requests that stand in no outcome and are not open: lost ones, an alarm. */
+  /** Accepted requests that are neither open nor counted in any outcome. They were lost, which should raise an alarm. */
   readonly unaccounted: number
 }
 
@@ -93,11 +93,11 @@
 }
 
 /**
- * Puts the statuses of the routers together.
+ * Summarizes the statuses of the routers.
  *
- * @param nodes - The statuses of the routers that answered.
- * @param weights - Weights of the client accounts, when they are known.
- * @returns Backend servers, accounts and the sum of the ledgers.
+ * @param nodes - The statuses of the routers that responded.
+ * @param weights - Weights of the client accounts, if known.
+ * @returns Backend servers, accounts and the sums of the request ledgers.
  *
  * @example
  * summarizeFleet([]).unaccounted // => 0
--- a/src/decisions/summarizeFleet/test.ts
+++ b/src/decisions/summarizeFleet/test.ts
@@ -17,29 +17,29 @@
 })
 
 describe('summarizeFleet', () => {
-  it('gives empty sums for no routers', () => {
+  it('returns an empty summary without routers', () => {
     expect(summarizeFleet([])).toEqual({ backendServers: [], accounts: [], ledger: { accepted: 0, complete: 0, refused: 0, unknown: 0, open: 0 }, unaccounted: 0 })
   })
 
-  it('takes the state that most routers see and names the others', () => {
+  it('reports the state that most routers report and names the other routers', () => {
     const summary = summarizeFleet([createNode('r1', 'live', 1), createNode('r2', 'ejected', 2), createNode('r3', 'ejected', 0)])
     expect(summary.backendServers).toEqual([{ backendServer: 'engine-1', state: 'ejected', dissenting: ['r1'], inFlight: 3, isDrained: false }])
   })
 
-  it.each([[0, true], [1, false]])('calls a leaving server with %i in flight drained: %s', (inFlight, isDrained) => {
+  it.each([[0, true], [1, false]])('reports a leaving server with %i requests in flight as drained: %s', (inFlight, isDrained) => {
     expect(summarizeFleet([createNode('r1', 'leaving', inFlight)]).backendServers[0]?.isDrained).toBe(isDrained)
   })
 
-  it('shows a request that fell out of the sum', () => {
+  it('counts a request that is missing from the ledger as unaccounted', () => {
     const lossy = createNode('r1', 'live', 0, { ledger: { accepted: 5, complete: 1, refused: 1, unknown: 1, open: 1 } })
     expect(summarizeFleet([lossy, createNode('r2', 'live', 0)]).unaccounted).toBe(1)
   })
 
-  it('sums what an account uses over the routers', () => {
+  it('sums the usage of an account over the routers', () => {
     expect(summarizeFleet([createNode('r1', 'live', 0), createNode('r2', 'live', 0)]).accounts).toEqual([{ clientAccount: 'shops', tokens: 20 }])
   })
 
-  it('names the accounts that use more than the part of their weight', () => {
+  it('marks accounts that use more than the share of their weight', () => {
     const node = createNode('r1', 'live', 0, { accountUsage: [{ clientAccount: 'large', tokens: 60 }, { clientAccount: 'small', tokens: 40 }] })
     const { accounts } = summarizeFleet([node], new Map([['large', 3], ['small', 1]]))
     expect(accounts.map(({ clientAccount, isOverShare }) => [clientAccount, isOverShare])).toEqual([['large', false], ['small', true]])
--- a/src/decisions/summarizeLog/index.ts
+++ b/src/decisions/summarizeLog/index.ts
@@ -1,23 +1,23 @@
-/** What the requests of a log came to, by cause and over time. */
+/** Summarizes the outcomes of the requests in a log, by cause and over time. */
 import type { LogRecord } from '../explainRequest/index.js'
 
-/** Requests that ended alike. */
+/** Number of requests with the same outcome, reason and status. */
 export type OutcomeCount = {
   readonly outcome: string
-  /** Why, for those that are not complete. */
+  /** Reason of the outcome; empty for complete requests. */
   readonly reason: string
   readonly status: string
   readonly requests: number
 }
 
-/** One stretch of time; `from` is wall time in milliseconds. */
+/** Counts of one period; `from` is its start in wall-clock milliseconds. */
 export type OutcomePeriod = { readonly from: number, readonly complete: number, readonly ended: number }
 
 export type LogSummary = {
   /** Most frequent first. */
   readonly outcomes: readonly OutcomeCount[]
   readonly periods: readonly OutcomePeriod[]
-  /** Lines of each event that were left out because of its bound; the counts above lack them. */
+  /** Lines of each event that the logger omitted because of its rate limit; the counts above don't include them. */
   readonly leftOut: ReadonlyMap<string, number>
 }
 
@@ -68,7 +68,7 @@
  *
  * @param records - The lines of all nodes, in any order.
  * @param options - `periodMs`: length of one period in milliseconds; 1,000 by default.
- * @returns Outcomes by cause, outcomes over time, and what the log lacks.
+ * @returns Outcomes by cause, outcomes over time, and the number of omitted lines.
  *
  * @example
  * summarizeLog([]).outcomes // => []
--- a/src/decisions/verifyChatHint/index.ts
+++ b/src/decisions/verifyChatHint/index.ts
@@ -1,19 +1,19 @@
-/** The reading side of the chat hint; `signChatHint` writes it. */
+/** Verifies chat hints that `signChatHint` made. */
 import { describeChatHint, type MessageAuthenticator } from '../signChatHint/index.js'
 
 const HINT_PATTERN = /^v1\.([A-Za-z0-9_-]{1,400})\.([A-Za-z0-9_-]{1,100})$/
 
 /**
- * Reads the backend server out of a hint that this fleet made for this chat.
+ * Verifies a hint and reads the backend server from it.
  *
- * A forged hint, or one of another account or chat, fails the code and is
- * ignored, so it can neither steer a request nor tell whether a server exists.
- * A stale one names a server that placement no longer offers, which it ignores.
+ * A forged hint, or one of another account or chat, fails verification and is
+ * ignored, so it can neither direct a request nor reveal whether a server exists.
+ * A stale hint names a server that is no longer a candidate, and placement ignores it.
  *
  * @param text - The hint as the caller sent it.
- * @param clientAccount - The account that the caller proved to be.
+ * @param clientAccount - The authenticated client account of the caller.
  * @param chatKey - The key of the request's chat.
- * @param authenticator - Checks the code.
+ * @param authenticator - Verifies the code.
  * @returns The name of the backend server, or `undefined` when the hint is not genuine.
  *
  * @example
--- a/src/decisions/verifyChatHint/test.ts
+++ b/src/decisions/verifyChatHint/test.ts
@@ -12,7 +12,7 @@
 const signed = signChatHint(HINT, FLEET)
 
 describe('verifyChatHint', () => {
-  it('gives back the backend server of a genuine hint', () => {
+  it('returns the backend server of a genuine hint', () => {
     expect(verifyChatHint(signed, 'shop', 'chat', FLEET)).toBe('backend-ř')
   })
 
@@ -22,8 +22,8 @@
     ['another server', signed.replace(/^v1\.[^.]+/, 'v1.eA'), 'shop', 'chat'],
     ['another fleet', signChatHint(HINT, createAuthenticator('z')), 'shop', 'chat'],
     ['an empty text', '', 'shop', 'chat'],
-    ['a cut text', signed.slice(0, -2), 'shop', 'chat'],
-    ['a huge text', `v1.${'x'.repeat(5_000)}.y`, 'shop', 'chat']
+    ['a truncated text', signed.slice(0, -2), 'shop', 'chat'],
+    ['a very long text', `v1.${'x'.repeat(5_000)}.y`, 'shop', 'chat']
   ])('ignores a hint of %s', (_name, text, clientAccount, chatKey) => {
     expect(verifyChatHint(text, clientAccount, chatKey, FLEET)).toBeUndefined()
   })
