--- a/src/decisions/parseSheet/test.ts
+++ b/src/decisions/parseSheet/test.ts
@@ -58,7 +58,7 @@
     ['semicolons', `${HEADER.replaceAll(',', ';')}\n`, '1:1 cells must be separated by commas'],
     ['an unknown column', `${HEADER},colour\n`, '1:21 unknown column "colour"'],
     ['a missing column', `${HEADER.replace(',endsAt', '')}\n`, '1:20 column "endsAt" is missing'],
-    ['a doubled column', `${HEADER},name\n`, '1:21 column "name" stands twice'],
+    ['a duplicate column', `${HEADER},name\n`, '1:21 column "name" stands twice'],
     ['an open quote', `${HEADER}\nclientAccount,"x\n`, 'not readable as CSV']
   ])('refuses %s', (_, text, problem) => {
     expect(listProblems(text)[0]).toContain(problem)
@@ -77,15 +77,15 @@
     ['a target at the limit', serviceRow({ name: 'b', loadLimit: '1.5', loadTarget: '1.5' }), 7, 'loadTarget 1.5 must be below loadLimit 1.5'],
     ['an unknown kind', serviceRow({ name: 'b', kind: 'gpu' }), 5, 'kind "gpu" must be model or plain'],
     ['a service without servers', serviceRow({ name: 'b' }), 2, 'service "b" has no backendServer'],
-    ['a doubled name', serverRow({ url: 'http://10.0.1.9' }), 2, 'name "model-1" stands twice'],
-    ['a doubled url', serverRow({ name: 'b', url: 'http://10.0.1.4:8000/' }), 9, 'belongs to another backendServer'],
+    ['a duplicate name', serverRow({ url: 'http://10.0.1.9' }), 2, 'name "model-1" stands twice'],
+    ['a duplicate url', serverRow({ name: 'b', url: 'http://10.0.1.4:8000/' }), 9, 'belongs to another backendServer'],
     ['a url with a path', serverRow({ name: 'b', url: 'http://10.0.1.9/v1' }), 9, 'must be an origin'],
     ['a url with a password', serverRow({ name: 'b', url: 'http://a:b@10.0.1.9' }), 9, 'must be an origin'],
-    ['half a slot', serverRow({ name: 'b', url: 'http://10.0.1.9', slots: '0.5' }), 11, 'slots "0.5" must be a whole number from 1'],
+    ['a fractional number of slots', serverRow({ name: 'b', url: 'http://10.0.1.9', slots: '0.5' }), 11, 'slots "0.5" must be a whole number from 1'],
     ['a missing service', serverRow({ name: 'b', url: 'http://10.0.1.9', service: 'till' }), 8, 'service "till" is not in the sheet'],
     ['a model of two routes', routeRow({ name: 'b' }), 12, 'model "counter-7b" belongs to another route already'],
     ['a path to a model service', routeRow({ name: 'b', model: 'x', path: '/x' }), 13, 'a route to a service of kind model has no path'],
-    ['a flag in another word', routeRow({ name: 'b', model: 'x', repeatable: 'true' }), 14, 'repeatable "true" must be yes or no'],
+    ['a flag that is neither yes nor no', routeRow({ name: 'b', model: 'x', repeatable: 'true' }), 14, 'repeatable "true" must be yes or no'],
     ['an object property as a flag', routeRow({ name: 'b', model: 'x', repeatable: 'constructor' }), 14, 'must be yes or no'],
     ['a stop of a missing server', stopRow({ name: 'b', backendServer: 'model-9' }), 18, 'backendServer "model-9" is not in the sheet'],
     ['a stop of a zone without servers', stopRow({ name: 'b', backendServer: '', availabilityZone: 'venkov-z' }), 10, 'availabilityZone "venkov-z" is not in the sheet'],
