--- a/src/decisions/planRetry/test.ts
+++ b/src/decisions/planRetry/test.ts
@@ -33,17 +33,17 @@
     ['refused by the backend server, not repeatable', { attempt: REFUSED, repeatable: false }, elsewhere],
     ['sent, repeatable', { attempt: SENT }, elsewhere],
     ['sent, not repeatable', { attempt: SENT, repeatable: false }, refuse('unknown', 'backendFailed')],
-    ['in mid-answer, repeatable, nothing delivered', { attempt: ANSWERING }, elsewhere],
-    ['in mid-answer, resumable', { attempt: ANSWERING, resumable: true, delivered: true }, { kind: 'resume', delayMs: 50 }],
-    ['in mid-answer, resumable, not repeatable', { attempt: ANSWERING, resumable: true, repeatable: false }, { kind: 'resume', delayMs: 50 }],
-    ['in mid-answer, delivered, not resumable', { attempt: ANSWERING, delivered: true }, refuse('unknown', 'answerIncomplete')],
-    ['in mid-answer, resumes used up, nothing delivered', { attempt: ANSWERING, resumable: true, resumes: 2 }, elsewhere],
-    ['in mid-answer, not repeatable', { attempt: ANSWERING, repeatable: false }, refuse('unknown', 'answerIncomplete')],
+    ['during the response, repeatable, nothing delivered', { attempt: ANSWERING }, elsewhere],
+    ['during the response, resumable', { attempt: ANSWERING, resumable: true, delivered: true }, { kind: 'resume', delayMs: 50 }],
+    ['during the response, resumable, not repeatable', { attempt: ANSWERING, resumable: true, repeatable: false }, { kind: 'resume', delayMs: 50 }],
+    ['during the response, delivered, not resumable', { attempt: ANSWERING, delivered: true }, refuse('unknown', 'answerIncomplete')],
+    ['during the response, resumes used up, nothing delivered', { attempt: ANSWERING, resumable: true, resumes: 2 }, elsewhere],
+    ['during the response, not repeatable', { attempt: ANSWERING, repeatable: false }, refuse('unknown', 'answerIncomplete')],
     ['no budget', { budgetAvailable: false }, refuse('not-run', 'backendFailed')],
     ['no budget, but resumable', { attempt: ANSWERING, resumable: true, budgetAvailable: false }, { kind: 'resume', delayMs: 50 }],
     ['attempts used up', { attempts: 3 }, refuse('not-run', 'backendFailed')],
-    ['not run now, but maybe before', { attempts: 3, mayHaveRunBefore: true }, refuse('unknown', 'backendFailed')],
-    ['the delay would pass the deadline', { remainingMs: 50 }, refuse('not-run', 'backendFailed')],
+    ['not run now, but maybe by an earlier attempt', { attempts: 3, mayHaveRunBefore: true }, refuse('unknown', 'backendFailed')],
+    ['the delay would end after the deadline', { remainingMs: 50 }, refuse('not-run', 'backendFailed')],
     ['the deadline has passed', { remainingMs: 0 }, refuse('not-run', 'deadline')]
   ])('%s', (_name, given, expected) => {
     expect(planRetry(createSituation(given), LIMITS)).toEqual(expected)
@@ -62,7 +62,7 @@
     random: fc.double({ min: 0, max: 0.999, noNaN: true })
   })
 
-  it('never sends again what may have run and may not be repeated, nor after bytes were delivered', () => {
+  it('never retries a request that may have run and is not repeatable, nor one with delivered bytes', () => {
     fc.assert(fc.property(anySituation, (situation) => {
       const plan = planRetry(situation, LIMITS)
       if (plan.kind !== 'retryElsewhere') return
@@ -71,7 +71,7 @@
     }), { seed: 4, numRuns: 5_000 })
   })
 
-  it('says "not-run" only if no attempt may have run', () => {
+  it('reports "not-run" only if no attempt may have run', () => {
     fc.assert(fc.property(anySituation, (situation) => {
       const plan = planRetry(situation, LIMITS)
       if (plan.kind !== 'refuse' || plan.outcome !== 'not-run') return
