--- a/src/services/admission/_lib/createDrainRate.ts
+++ b/src/services/admission/_lib/createDrainRate.ts
@@ -1,20 +1,20 @@
-/** How fast a service finishes this node's work, to tell how long a queue will take. */
+/** Estimates the rate at which a service completes this node's requests, to predict queueing delays. */
 import { decayUsage } from '../../../decisions/decayUsage/index.js'
 import type { Clock } from '../../../types/index.js'
 
 export type DrainRate = {
-  /** Notes work that was finished, in tokens. */
+  /** Records completed work in tokens. */
   readonly record: (tokens: number) => void
-  /** Milliseconds that so many tokens will take; 0 while nothing is known. */
+  /** Estimated milliseconds to complete this many tokens; 0 while there are no data. */
   readonly estimateMs: (tokens: number) => number
 }
 
 /**
- * Creates an estimate from exponentially decayed finished work.
+ * Creates an estimator that uses exponentially decayed completed work.
  *
  * @param clock - Monotonic time.
  * @param halfLifeMs - Half-life of past work, in milliseconds.
- * @returns The estimate.
+ * @returns The estimator.
  */
 export const createDrainRate = (clock: Clock, halfLifeMs: number): DrainRate => {
   const startedAt = clock.now()
@@ -23,7 +23,7 @@
 
   const decayNow = (): number => decayUsage(decayed, clock.now() - at, halfLifeMs)
 
-  /** The decayed length of the time that was watched, so that the rate is right from the start. */
+  /** Decayed length of the observed time, so that the rate is unbiased from the start. */
   const watchedMs = (): number => {
     const full = halfLifeMs / Math.LN2
     return full * (1 - 2 ** (-(clock.now() - startedAt) / halfLifeMs))
--- a/src/services/admission/_lib/createServiceQueue.ts
+++ b/src/services/admission/_lib/createServiceQueue.ts
@@ -1,7 +1,7 @@
 /**
- * Admission to one service: grants while this node has slots there, queues in
- * weighted fair order of work when it has none, and refuses what the queue
- * cannot hold or serve in time.
+ * Admission queue of one service: admits requests while this node has free
+ * slots, queues them in weighted fair order (by tokens) when it has none, and
+ * refuses requests that the queue can't hold or serve before their deadline.
  */
 import { failure, success } from '../../../kernel/index.js'
 import { findOverShare } from '../../../decisions/findOverShare/index.js'
@@ -18,14 +18,14 @@
 
 const MAXIMUM_RETRY_AFTER_MS = 60_000
 
-/** The accounts of the usage book that stand for the two classes as wholes. */
+/** Pseudo accounts in the usage record that sum up overnight requests and all requests. */
 const CLASS_OVERNIGHT = '\u0000overnight'
 const CLASS_ALL = '\u0000all'
 
 export type ServiceQueueDependencies = {
   readonly clock: Clock
   readonly usage: UsageRecord
-  /** Work by class; kept apart from `usage`, which is published. */
+  /** Usage by priority class; separate from `usage`, which is published to peers. */
   readonly classUsage: UsageRecord
   readonly slotsForNode: () => number
   readonly findWeight: (clientAccount: string) => number
@@ -42,7 +42,7 @@
  *
  * @param service - Name of the service.
  * @param dependencies - Clock, usage, slots and weights.
- * @param options - Bounds and shares.
+ * @param options - Limits and shares.
  * @returns The queue.
  */
 export const createServiceQueue = (service: string, dependencies: ServiceQueueDependencies, options: AdmissionOptions): ServiceQueue => {
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Overnight work goes first only while it has had less than its set share. */
+  /** Overnight requests go first only while their usage is below their configured share. */
   const selectList = (): WaitingList => {
     if (interactive.length() === 0) return overnight
     if (overnight.length() === 0) return interactive
@@ -107,8 +107,8 @@
     pollWhileWaiting()
   }
 
-  // Slots also come free at other nodes and with new backend servers, which
-  // nobody announces here; while somebody waits, the queue looks again.
+  // Slots are also freed by other nodes and added with new backend servers. No event
+  // announces this, so the queue polls while requests wait.
   const pollWhileWaiting = (): void => {
     if (countWaiting() === 0 || pollTimer !== undefined) return
     pollTimer = clock.setTimer(options.pollIntervalMs, () => {
@@ -140,7 +140,7 @@
   const isAccountFull = (demand: AdmissionDemand): boolean =>
     (listOf(demand).find(demand.clientAccount)?.length ?? 0) >= options.maximumQueuedPerAccount
 
-  /** Makes room for the newcomer at the cost of the account furthest over its share; false when that is its own. */
+  /** Evicts a request of the account furthest over its share; returns false when that is the account of the new request. */
   const makeRoom = (demand: AdmissionDemand): boolean => {
     const overnightWorst = findOverShare(overnight.accounts().map(describe))
     if (!demand.overnight && overnightWorst !== undefined) return evict(overnight, overnightWorst)
--- a/src/services/admission/_lib/createUsageRecord.ts
+++ b/src/services/admission/_lib/createUsageRecord.ts
@@ -1,16 +1,16 @@
 /**
- * Work done lately for each client account, by this node and, as far as they
- * say, by the others. Only the largest users travel between nodes, so the
- * control traffic does not grow with the number of accounts.
+ * Recent usage of each client account in tokens, at this node and as reported
+ * by peers. Nodes report only their largest users, so control traffic does not
+ * grow with the number of accounts.
  */
 import { decayUsage } from '../../../decisions/decayUsage/index.js'
 import type { AccountUsage, Clock } from '../../../types/index.js'
 
-/** Decayed work below this many tokens is forgotten. */
+/** Entries whose decayed usage is below this many tokens are removed. */
 const NEGLIGIBLE_TOKENS = 1
 
 export type UsageRecord = {
-  /** Adds work; a negative amount takes back what was estimated too high. */
+  /** Adds tokens; a negative amount corrects an estimate that was too high. */
   readonly charge: (service: string, clientAccount: string, tokens: number) => void
   /** Decayed tokens of the whole fleet. */
   readonly measureFleet: (service: string, clientAccount: string) => number
@@ -28,11 +28,11 @@
 export type UsageRecordOptions = { readonly halfLifeMs: number, readonly peerUsageMaximumAgeMs: number }
 
 /**
- * Creates an empty book.
+ * Creates an empty usage record.
  *
  * @param clock - Monotonic time.
- * @param options - Half-life of work and the age at which a peer's report is dropped, in milliseconds.
- * @returns The book.
+ * @param options - Half-life of usage and the age at which a peer's report expires, in milliseconds.
+ * @returns The usage record.
  */
 export const createUsageRecord = (clock: Clock, options: UsageRecordOptions): UsageRecord => {
   const own = new Map<string, Amount>()
--- a/src/services/admission/_lib/createWaitingList.ts
+++ b/src/services/admission/_lib/createWaitingList.ts
@@ -1,4 +1,4 @@
-/** The requests that wait for one service and class, in order of arrival within each account. */
+/** Waiting requests of one service and priority class, in order of arrival within each account. */
 import type { AdmissionDemand, AdmissionRefusal, AdmissionTicket, Result } from '../../../types/index.js'
 
 export type WaitingRequest = {
--- a/src/services/admission/index.ts
+++ b/src/services/admission/index.ts
@@ -1,6 +1,6 @@
 /**
- * Fair shares of full backend pools. Each service has a queue of its own; what
- * an account lately used anywhere in the fleet counts at every node.
+ * Admission control with weighted fair queueing. Each service has its own queue;
+ * the shares of client accounts follow their recent usage in the whole fleet.
  */
 import type { RunningService } from '../../kernel/index.js'
 import type { Admission, Clock, ConfigurationHolder, Metrics } from '../../types/index.js'
@@ -8,22 +8,22 @@
 import type { ServiceQueue } from './_lib/createServiceQueue.js'
 import { createUsageRecord } from './_lib/createUsageRecord.js'
 
-/** Weight of an account that the configuration in force does not know (any more). */
+/** Weight of an account that is not in the configuration in force. */
 const DEFAULT_WEIGHT = 1
 
 export type AdmissionOptions = {
-  /** Waiting requests of one service over all accounts. */
+  /** Maximum number of waiting requests of one service, over all accounts. */
   readonly maximumQueued: number
   readonly maximumQueuedPerAccount: number
-  /** Share of a contended service's work that overnight requests get, from 0 to 1. */
+  /** Share of the tokens of a contended service that overnight requests get, from 0 to 1. */
   readonly overnightShare: number
-  /** Milliseconds after which half of past work is forgotten. */
+  /** Half-life of past usage in milliseconds. */
   readonly usageHalfLifeMs: number
-  /** Milliseconds after which a peer's report of usage is dropped. */
+  /** Milliseconds after which a peer's usage report expires. */
   readonly peerUsageMaximumAgeMs: number
-  /** Accounts that `usage` names, at most. */
+  /** Maximum number of accounts that `usage` reports. */
   readonly publishedAccounts: number
-  /** Milliseconds between looks at the slots while somebody waits. */
+  /** Milliseconds between two checks for free slots while requests wait. */
   readonly pollIntervalMs: number
 }
 
@@ -42,10 +42,10 @@
   readonly configuration: Pick<ConfigurationHolder, 'current'>
   readonly metrics?: Metrics
   /**
-   * Slots of the service that this node may have in use at once, its own
-   * running requests included: the slots of all usable backend servers less
-   * what other nodes have in flight. It is compared with the tickets that are
-   * out, which counts a request from its grant on, before it is placed.
+   * Slots of the service that this node may use at once, its own running
+   * requests included: the slots of all usable backend servers minus the
+   * requests in flight from other nodes. It is compared with the number of
+   * open tickets, so a request counts from its admission, before it is placed.
    */
   readonly slotsForNode: (service: string) => number
 }
@@ -54,8 +54,8 @@
  * Creates the admission service of one node.
  *
  * @param dependencies - Clock, configuration and the slots of each service.
- * @param options - Bounds and shares; `defaultAdmissionOptions` unless given.
- * @returns The service. It has nothing to start or stop.
+ * @param options - Limits and shares; `defaultAdmissionOptions` by default.
+ * @returns The service. It needs no start or stop.
  *
  * @example
  * const { api } = createAdmission({ clock, configuration, slotsForNode: () => 8 })
@@ -90,7 +90,7 @@
   }
 }
 
-/** Finds weights by account name; the index is built once for each configuration. */
+/** Creates a look-up of account weights by name. The index is built once for each configuration. */
 const createWeights = (configuration: Pick<ConfigurationHolder, 'current'>): (clientAccount: string) => number => {
   let indexed: ReturnType<ConfigurationHolder['current']>
   let weights: ReadonlyMap<string, number> = new Map()
--- a/src/services/admission/test.ts
+++ b/src/services/admission/test.ts
@@ -54,12 +54,12 @@
 const reasonOf = (outcome: Outcome): string => outcome.ok ? 'admitted' : outcome.error.reason
 
 describe('createAdmission', () => {
-  it('admits at once while there are slots', async () => {
+  it('admits at once while slots are free', async () => {
     const { ask } = createPool(2)
     expect(await Promise.all([ask('a'), ask('a')])).toMatchObject([{ ok: true }, { ok: true }])
   })
 
-  it('counts a finish once', async () => {
+  it('frees the slot of a ticket once, even if it is finished twice', async () => {
     const { ask, tickets, admitted, settle } = createPool(1)
     repeat(3, () => ask('a'))
     await settle()
@@ -70,7 +70,7 @@
     expect(admitted.length).toBe(2)
   })
 
-  it('takes waiting accounts by turns though one has far more waiting', async () => {
+  it('alternates between waiting accounts although one has far more requests waiting', async () => {
     const { ask, admitted, settle, finishOldest } = createPool(1)
     repeat(20, () => ask('surging'))
     repeat(5, () => ask('calm'))
@@ -79,7 +79,7 @@
     expect(count(admitted, 'calm')).toBe(5)
   })
 
-  it('shares work and not requests', async () => {
+  it('shares tokens, not requests', async () => {
     const { ask, admitted, settle, finishOldest } = createPool(1)
     repeat(40, () => ask('large', { tokens: 300 }))
     repeat(40, () => ask('small', { tokens: 100 }))
@@ -88,7 +88,7 @@
     expect(count(admitted, 'small') / count(admitted, 'large')).toBeCloseTo(3, 0)
   })
 
-  it('shares by weight', async () => {
+  it('shares in proportion to the weights of the accounts', async () => {
     const { ask, admitted, settle, finishOldest } = createPool(1, {}, { heavy: 3, light: 1 })
     repeat(40, () => ask('heavy'))
     repeat(40, () => ask('light'))
@@ -97,8 +97,8 @@
     expect(count(admitted, 'heavy')).toBe(30)
   })
 
-  // An account spread over two routers would get its share twice.
-  it('counts what an account uses at other nodes', async () => {
+  // An account that sends to two routers would otherwise get its share twice.
+  it('includes the usage that other nodes report', async () => {
     const { api, ask, admitted, settle, finishOldest } = createPool(1)
     api.mergeUsage('other router', [{ clientAccount: 'surging', service: 'desk', tokens: 1_000 }])
     repeat(20, () => ask('surging'))
@@ -108,7 +108,7 @@
     expect(count(admitted, 'surging')).toBe(1)
   })
 
-  it('forgets the word of a node that is silent', async () => {
+  it('drops the usage report of a peer that has stopped reporting', async () => {
     const { clock, api, ask, admitted, settle, finishOldest } = createPool(1)
     api.mergeUsage('other router', [{ clientAccount: 'surging', service: 'desk', tokens: 1_000 }])
     clock.advance(defaultAdmissionOptions.peerUsageMaximumAgeMs + 1)
@@ -119,7 +119,7 @@
     expect(count(admitted, 'surging')).toBe(3)
   })
 
-  it('publishes the largest users alone', async () => {
+  it('publishes only the largest users', async () => {
     const { api, ask, settle } = createPool(10, { publishedAccounts: 2 })
     ask('small', { tokens: 1 })
     ask('large', { tokens: 900 })
@@ -128,7 +128,7 @@
     expect(api.usage()).toEqual([{ service: 'desk', clientAccount: 'large', tokens: 900 }, { service: 'desk', clientAccount: 'middle', tokens: 90 }])
   })
 
-  it('gives overnight work its set share under interactive load', async () => {
+  it('gives overnight requests their configured share under interactive load', async () => {
     const { ask, admitted, settle, finishOldest } = createPool(1, { overnightShare: 0.25 })
     repeat(60, () => ask('desk'))
     repeat(60, () => ask('summaries', { overnight: true }))
@@ -137,7 +137,7 @@
     expect(count(admitted, 'summaries')).toBe(10)
   })
 
-  it('takes up slots that come free elsewhere', async () => {
+  it('uses slots that are freed by other nodes', async () => {
     const { clock, pool, ask, admitted, settle } = createPool(0)
     ask('a')
     pool.slots = 1
@@ -148,20 +148,20 @@
 })
 
 describe('createAdmission when the queue is full', () => {
-  it('bounds what one account may have waiting', async () => {
+  it('limits the waiting requests of one account', async () => {
     const { ask } = createPool(0, { maximumQueuedPerAccount: 2 })
     ask('a')
     ask('a')
     expect(reasonOf(await ask('a'))).toBe('queueFull')
   })
 
-  it('lets nobody wait where the queue has no place', async () => {
+  it('queues no request when the maximum queue length is 0', async () => {
     const { ask } = createPool(1, { maximumQueued: 0 })
     expect(reasonOf(await ask('a'))).toBe('admitted')
     expect(reasonOf(await ask('b'))).toBe('overShare')
   })
 
-  it('refuses the account furthest over its share, with when to come back', async () => {
+  it('refuses a request of the account furthest over its share, with a Retry-After', async () => {
     const { ask } = createPool(0, { maximumQueued: 3 })
     const surging = repeat(3, () => ask('surging'))
     ask('calm')
@@ -170,34 +170,34 @@
     expect(!refused.ok && refused.error.retryAfterMs).toBeGreaterThan(0)
   })
 
-  it('refuses a newcomer that is itself furthest over its share', async () => {
+  it('refuses a new request whose account is furthest over its share', async () => {
     const { ask } = createPool(0, { maximumQueued: 2 })
     ask('calm')
     ask('surging')
     expect(reasonOf(await ask('surging'))).toBe('overShare')
   })
 
-  it('refuses waiting overnight work before interactive work', async () => {
+  it('refuses waiting overnight requests before interactive ones', async () => {
     const { ask } = createPool(0, { maximumQueued: 1 })
     const overnight = ask('summaries', { overnight: true })
     ask('desk')
     expect(reasonOf(await overnight)).toBe('overShare')
   })
 
-  it('refuses overnight work when interactive work fills the queue', async () => {
+  it('refuses overnight requests when interactive ones fill the queue', async () => {
     const { ask } = createPool(0, { maximumQueued: 1 })
     ask('desk')
     expect(reasonOf(await ask('summaries', { overnight: true }))).toBe('overShare')
   })
 })
 
-describe('createAdmission and time', () => {
-  it('refuses what is past its deadline', async () => {
+describe('createAdmission deadlines and cancellation', () => {
+  it('refuses a request whose deadline has passed', async () => {
     const { clock, ask } = createPool(1)
     expect(reasonOf(await ask('a', { deadlineAt: clock.now() }))).toBe('deadline')
   })
 
-  it('refuses at the deadline what still waits', async () => {
+  it('refuses a waiting request at its deadline', async () => {
     const { clock, ask, settle } = createPool(0)
     const waiting = ask('a', { deadlineAt: clock.now() + 10 })
     await settle()
@@ -205,7 +205,7 @@
     expect(reasonOf(await waiting)).toBe('deadline')
   })
 
-  it('refuses at once what the queue cannot serve in time', async () => {
+  it('refuses at once a request that the queue can not serve before its deadline', async () => {
     const { clock, ask, settle, finishOldest } = createPool(1)
     repeat(20, () => ask('a'))
     await settle()
@@ -217,7 +217,7 @@
     expect(reasonOf(refused)).toBe('deadline')
   })
 
-  it('lets a caller who hangs up leave the queue', async () => {
+  it('removes the request of a caller that disconnects from the queue', async () => {
     const { ask, admitted, settle, finishOldest } = createPool(1)
     const hangUp = new AbortController()
     ask('a')
--- a/src/services/dispatch/_lib/attemptEnd.ts
+++ b/src/services/dispatch/_lib/attemptEnd.ts
@@ -7,7 +7,7 @@
 export type AttemptEnd =
   | {
     readonly kind: 'delivered'
-    /** Set when the whole answer was small enough to keep. */
+    /** Set when the complete answer was small enough to buffer. */
     readonly stored?: StoredAnswer
     readonly usage?: TokenUsage
     readonly outcome: AttemptOutcome
@@ -16,16 +16,16 @@
     readonly kind: 'failed'
     readonly attempt: FailedAttempt
     readonly message: string
-    /** What the failure says of the backend server; nothing when the caller or the deadline ended it. */
+    /** Result for the health record of the backend server; not set when the caller or the deadline ended the attempt. */
     readonly outcome?: AttemptOutcome
   }
-  /** The caller stopped reading a stream. */
+  /** The caller stopped reading the answer. */
   | { readonly kind: 'callerLeft', readonly attempt: FailedAttempt }
 
-/** Folds the events of an attempt that failed. */
+/** Computes the final state of a failed attempt from its events. */
 export const failAfter = (...events: readonly AttemptEvent[]): FailedAttempt => {
   const start: AttemptState = { stage: 'notSent' }
   const state = events.reduce<AttemptState>(advanceAttempt, start)
-  if (state.stage !== 'failed') throw new Error(`an attempt that failed is ${state.stage}`)
+  if (state.stage !== 'failed') throw new Error(`expected a failed attempt, got stage ${state.stage}`)
   return state
 }
--- a/src/services/dispatch/_lib/createAuthenticator.ts
+++ b/src/services/dispatch/_lib/createAuthenticator.ts
@@ -1,10 +1,10 @@
-/** Keys and codes: the hash of a caller's key, and the codes of chat hints. */
+/** Hashes caller keys, and signs and verifies chat hints with an HMAC. */
 import { createHash, createHmac, hkdfSync, timingSafeEqual } from 'node:crypto'
 import type { MessageAuthenticator } from '../../../decisions/signChatHint/index.js'
 
 const HINT_KEY_LABEL = 'dotterelspoke chat hint'
 const HINT_KEY_BYTES = 32
-/** Half of the code: 128 bits are beyond guessing, and the hint travels with every answer. */
+/** The HMAC is truncated to 128 bits: it stays infeasible to guess, and the hint is sent with every answer. */
 const CODE_BYTES = 16
 
 export const hashHex = (...parts: readonly (string | Uint8Array)[]): string => {
@@ -13,7 +13,7 @@
   return hash.digest('hex')
 }
 
-/** The hint's key is derived from the fleet key, so that a hint's code is of no use between peers. */
+/** Derives the hint's key from the fleet key, so that the code of a hint can't authenticate a message between peers. */
 export const createHintAuthenticator = (fleetKey: string): MessageAuthenticator => {
   const key = Buffer.from(hkdfSync('sha256', fleetKey, '', HINT_KEY_LABEL, HINT_KEY_BYTES))
   const compute = (message: string): Buffer => createHmac('sha256', key).update(message).digest().subarray(0, CODE_BYTES)
--- a/src/services/dispatch/_lib/createLedger.test.ts
+++ b/src/services/dispatch/_lib/createLedger.test.ts
@@ -3,7 +3,7 @@
 import { createLedger } from './createLedger.js'
 
 describe('createLedger', () => {
-  it('shows a request that is never settled by the age of the oldest open one', () => {
+  it('reports the age of a request that is never settled', () => {
     const clock = createManualClock()
     const ledger = createLedger(clock)
     ledger.open()
@@ -12,13 +12,13 @@
     expect(ledger.oldestOpenMs()).toBe(1_000)
   })
 
-  it('has no oldest request once all are settled', () => {
+  it('reports an age of 0 once all requests are settled', () => {
     const ledger = createLedger(createManualClock())
     ledger.open()('refused')
     expect(ledger.oldestOpenMs()).toBe(0)
   })
 
-  it('stops at a request that is settled twice', () => {
+  it('throws when a request is settled twice', () => {
     const settle = createLedger(createManualClock()).open()
     settle('complete')
     expect(() => settle('complete')).toThrow(/twice/)
--- a/src/services/dispatch/_lib/createLedger.ts
+++ b/src/services/dispatch/_lib/createLedger.ts
@@ -1,18 +1,18 @@
 /**
- * The count of requests by their fate. Each request is entered once and
- * settled once, so that accepted = complete + refused + unknown + open always
- * holds. A request that got lost shows as open for ever: the age of the oldest
- * open one then passes every deadline.
+ * Counts requests by outcome. Each request is opened once and settled once, so
+ * that accepted = complete + refused + unknown + open always holds. A request
+ * that is never settled stays open: the age of the oldest open request then
+ * exceeds every deadline.
  */
 import type { Clock, RequestLedger } from '../../../types/index.js'
 
 export type RequestFate = 'complete' | 'refused' | 'unknown'
 
 export type Ledger = {
-  /** Enters a request; the function returned settles it, once. */
+  /** Opens an entry for a request; the returned function settles it and must be called once. */
   readonly open: () => (fate: RequestFate) => void
   readonly read: () => RequestLedger
-  /** Milliseconds since the oldest open request was entered; 0 when none is open. */
+  /** Milliseconds since the oldest open request was accepted; 0 when none is open. */
   readonly oldestOpenMs: () => number
   readonly whenIdle: () => Promise<void>
 }
@@ -20,7 +20,7 @@
 export const createLedger = (clock: Pick<Clock, 'now'>): Ledger => {
   const counts = { accepted: 0, complete: 0, refused: 0, unknown: 0, open: 0 }
   const waiting: (() => void)[] = []
-  /** When each open request was entered, the oldest first. */
+  /** Time at which each open request was accepted, the oldest first. */
   const openedAt = new Map<number, number>()
 
   const settle = (fate: RequestFate): void => {
@@ -37,7 +37,7 @@
       const entry = counts.accepted
       openedAt.set(entry, clock.now())
       return (fate) => {
-        if (!openedAt.delete(entry)) throw new Error('a request was settled twice')
+        if (!openedAt.delete(entry)) throw new Error('request ledger: the entry of a request was settled twice')
         settle(fate)
       }
     },
--- a/src/services/dispatch/_lib/createReachabilityProbes.ts
+++ b/src/services/dispatch/_lib/createReachabilityProbes.ts
@@ -1,13 +1,13 @@
 /**
- * Asks backend servers that keep requests waiting whether they are still
- * there. The load probes can't tell: a router reads only the servers of its
- * own zone. One probe a server and few a second in all, however many requests
- * wait, keep this within the control budget.
+ * Probes backend servers that have not answered a request yet. The load probes
+ * don't cover this: a router probes only the servers of its own zone. At most
+ * one probe a server is open and three a second are started, however many
+ * requests wait, to stay within the budget for control traffic.
  */
 import type { BackendClient, BackendServer, Clock } from '../../../types/index.js'
 
 export type ReachabilityProbes = {
-  /** Whether the latest probes of a server had no answer; starts the next probe when it is due. */
+  /** Whether the latest probes of a server failed; starts the next probe when it is due. */
   readonly check: (backendServer: BackendServer) => boolean
 }
 
@@ -16,7 +16,7 @@
 const PROBE_TIMEOUT_MS = 1_000
 const PROBES_A_SECOND = 3
 const FAILURES_TO_LOSE = 2
-/** An older result says nothing of the present. */
+/** Results older than this are ignored. */
 const RESULT_LIFETIME_MS = 5_000
 
 const NOT_PROBED: Probing = { failures: 0, isRunning: false, at: -Infinity }
--- a/src/services/dispatch/_lib/createReply.ts
+++ b/src/services/dispatch/_lib/createReply.ts
@@ -1,7 +1,7 @@
 /**
- * The way of an answer to its caller. The request runs on its own and pushes
- * into the reply, so that its deadline holds and its fate is counted even when
- * the caller stops reading or never starts.
+ * Channel for the answer to a caller. The request runs independently and pushes
+ * into the reply, so that its deadline applies and its outcome is counted even
+ * when the caller stops reading or never starts.
  */
 import type { AnswerPart, CallerAnswer, Headers, Refusal } from '../../../types/index.js'
 
@@ -11,12 +11,12 @@
   readonly answer: Promise<CallerAnswer>
   readonly sendWhole: (status: number, headers: Headers, body: Uint8Array) => void
   readonly startStream: (status: number, headers: Headers) => void
-  /** Waits while the caller is slow; resolves false when it has left or the signal aborts. */
+  /** Applies backpressure while the caller is slow; resolves false when it has stopped reading or the signal aborts. */
   readonly sendData: (bytes: Uint8Array, signal: AbortSignal) => Promise<boolean>
   readonly endStream: () => void
-  /** The final answer when there is no complete one, before or in mid-stream. */
+  /** Ends the reply with a refusal, either in place of an answer or in the middle of a stream. */
   readonly refuse: (refusal: Refusal) => void
-  /** Whether the caller may have seen a part of an answer. */
+  /** Whether the caller may have received a part of an answer. */
   readonly hasStarted: () => boolean
 }
 
@@ -27,7 +27,7 @@
   readonly iterable: AsyncIterable<AnswerPart>
 }
 
-/** Resolves when `wake` is called or the signal aborts, and leaves no listener behind. */
+/** Passes a callback to `keepWake`; resolves when it is called or the signal aborts, and removes its listener. */
 const waitForWake = (signal: AbortSignal, keepWake: (wake: () => void) => void): Promise<void> => new Promise((resolve) => {
   const wake = (): void => {
     signal.removeEventListener('abort', wake)
--- a/src/services/dispatch/_lib/createRequestScope.ts
+++ b/src/services/dispatch/_lib/createRequestScope.ts
@@ -1,20 +1,20 @@
 /**
- * How long one request may go on: until its deadline, or until its caller
- * hangs up. Everything that waits for the request waits within its scope.
+ * Lifetime of one request: it ends at the deadline or when the caller
+ * disconnects. Every wait on behalf of the request is bounded by this scope.
  */
 import type { Clock } from '../../../types/index.js'
 
 export type RequestEnd = 'deadline' | 'hungUp'
 
 export type RequestScope = {
-  /** Aborts at the deadline or when the caller hangs up. */
+  /** Aborts at the deadline or when the caller disconnects. */
   readonly signal: AbortSignal
   /** Why the signal was aborted; `undefined` before. */
   readonly ended: () => RequestEnd | undefined
   readonly remainingMs: () => number
   readonly elapsedMs: () => number
   readonly deadlineAt: number
-  /** From now on a caller that hangs up does not end the request. */
+  /** Detaches the scope from the caller: a later disconnect does not end the request. */
   readonly outliveCaller: () => void
   /** Resolves with `undefined` when the scope ends first. */
   readonly race: <Value>(promise: Promise<Value>) => Promise<Value | undefined>
--- a/src/services/dispatch/_lib/createRetryAllowance.ts
+++ b/src/services/dispatch/_lib/createRetryAllowance.ts
@@ -8,7 +8,7 @@
   readonly spend: () => void
 }
 
-/** Tokens of a fresh and of a full bucket: enough for the failures of a quiet hour. */
+/** Initial and maximum tokens of the bucket: enough for the failures of an hour with little traffic. */
 const CAPACITY = 20
 
 export const createRetryAllowance = (share: number): RetryAllowance => {
--- a/src/services/dispatch/_lib/createRetryPlanner.ts
+++ b/src/services/dispatch/_lib/createRetryPlanner.ts
@@ -1,4 +1,4 @@
-/** What is known of one request over all its attempts, as `planRetry` asks for it. */
+/** Tracks the attempts of one request and builds the input of `planRetry` from them. */
 import { planRetry, type FailedAttempt, type RetryPlan } from '../../../decisions/planRetry/index.js'
 import { mayRepeat, type RequestContext } from './requestContext.js'
 
@@ -8,7 +8,7 @@
   readonly startAttempt: () => void
   readonly recordFailure: (attempt: FailedAttempt, backendServer: string) => void
   readonly plan: (attempt: FailedAttempt, resume?: ResumeState) => RetryPlan
-  /** Whether any attempt so far may have run. */
+  /** Whether any attempt so far may have been executed. */
   readonly mayHaveRun: () => boolean
   readonly excluded: ReadonlySet<string>
 }
--- a/src/services/dispatch/_lib/describeExchange.ts
+++ b/src/services/dispatch/_lib/describeExchange.ts
@@ -1,4 +1,4 @@
-/** The messages to a backend server, and the headers of an answer to a caller. */
+/** Builds the requests to a backend server and the headers of an answer to a caller. */
 import { CHAT_COOKIE, selectReturnedHeaders } from '../../../decisions/selectReturnedHeaders/index.js'
 import { selectForwardedHeaders } from '../../../decisions/selectForwardedHeaders/index.js'
 import { signChatHint } from '../../../decisions/signChatHint/index.js'
@@ -35,7 +35,7 @@
 const streamPath = ({ routed }: RequestContext): string =>
   `/v1/streams/${encodeURIComponent(routed.request.requestId)}`
 
-/** Asks for the events of a stream after number `after`, and all that follow. */
+/** Requests the events of a stream that follow event number `after`. */
 export const describeResume = (context: RequestContext, backendServer: BackendServer, after: number): BackendRequest => ({
   requestId: context.routed.request.requestId,
   url: backendServer.url,
@@ -46,7 +46,7 @@
   timeoutMs: context.scope.remainingMs()
 })
 
-/** Tells an engine that nobody waits for this request any more. */
+/** Cancels a request on a model engine. */
 export const describeCancel = (context: RequestContext, backendServer: BackendServer, timeoutMs: number): BackendRequest => ({
   requestId: context.routed.request.requestId,
   url: backendServer.url,
--- a/src/services/dispatch/_lib/describeModels.ts
+++ b/src/services/dispatch/_lib/describeModels.ts
@@ -1,4 +1,4 @@
-/** The list of models, as `GET /v1/models` gives it. */
+/** Builds the answer to `GET /v1/models`. */
 import type { CallerAnswer } from '../../../types/index.js'
 import type { ConfigurationIndex } from './indexConfiguration.js'
 
--- a/src/services/dispatch/_lib/indexConfiguration.ts
+++ b/src/services/dispatch/_lib/indexConfiguration.ts
@@ -1,4 +1,4 @@
-/** Tables by which a request finds its client account and route without a scan. */
+/** Indexes a configuration, so that client accounts and routes are found without a scan. Cached per configuration. */
 import type { PathRoute } from '../../../decisions/matchRoute/index.js'
 import type { BackendService, ClientAccount, Configuration, Route } from '../../../types/index.js'
 
--- a/src/services/dispatch/_lib/readModelRequest.ts
+++ b/src/services/dispatch/_lib/readModelRequest.ts
@@ -1,14 +1,14 @@
-/** Reads the body of a chat completion as far as routing needs it. */
+/** Reads the parts of a chat completion request that routing needs. */
 import { z } from 'zod'
 import { hashHex } from './createAuthenticator.js'
 
 export type ModelRequest = {
   readonly model: string
-  /** Identifies the chat within its account, when the caller gives no chat id. */
+  /** Hash of the system prompt and the first user message; identifies the chat when the caller gives no chat id. */
   readonly opening: string
-  /** No answer of the model is among the messages yet. */
+  /** Whether the messages contain no answer of the model yet. */
   readonly isNewChat: boolean
-  /** Estimate of prompt and answer together. */
+  /** Estimated tokens of prompt and answer together. */
   readonly tokens: number
 }
 
--- a/src/services/dispatch/_lib/readRoutedRequest.ts
+++ b/src/services/dispatch/_lib/readRoutedRequest.ts
@@ -1,6 +1,6 @@
 /**
- * From a caller's request to a routed one: who asks, along which route, for
- * which chat, until when. Whatever is wrong ends in a refusal that was not run.
+ * Validates a caller's request and determines its client account, route, chat
+ * and deadline. An invalid request is refused with the outcome "not-run".
  */
 import { describeRefusal } from '../../../decisions/describeRefusal/index.js'
 import { matchRoute } from '../../../decisions/matchRoute/index.js'
@@ -17,7 +17,7 @@
   readonly clientAccount: ClientAccount
   readonly route: Route
   readonly serviceKind: BackendServiceKind
-  /** Normal path with query, as the backend server gets it. */
+  /** Normalised path with query, as sent to the backend server. */
   readonly path: string
   readonly chatKey: string
   readonly isNewChat: boolean
@@ -42,8 +42,8 @@
   failure(describeRefusal('not-run', reason, message))
 
 /**
- * The account is found by the hash of its key, which a caller can't steer
- * byte by byte, so the time that the look-up takes tells nothing of a key.
+ * Looks up the account by the hash of the key. A caller can't control the hash
+ * byte by byte, so the duration of the look-up leaks nothing about a key.
  */
 export const authenticateCaller = (index: ConfigurationIndex, request: CallerRequest): ClientAccount | undefined =>
   request.credential === undefined ? undefined : index.accountsByKeyHash.get(hashHex(request.credential))
@@ -58,11 +58,11 @@
 }
 
 const readModelDestination = (index: ConfigurationIndex, request: CallerRequest, account: ClientAccount): Result<Destination, Refusal> => {
-  if (request.method !== 'POST') return refuse('unknownRoute', `${CHAT_COMPLETIONS_PATH} takes POST only`)
+  if (request.method !== 'POST') return refuse('unknownRoute', `${CHAT_COMPLETIONS_PATH} accepts POST only`)
   const body = readModelRequest(request.body)
-  if (body === undefined) return refuse('badRequest', 'the body is not a chat completion request')
+  if (body === undefined) return refuse('badRequest', 'the body is not a valid chat completion request: it needs a model and at least one message')
   const route = index.routesByModel.get(body.model)
-  if (route === undefined) return refuse('unknownModel', `there is no model ${JSON.stringify(body.model)}`)
+  if (route === undefined) return refuse('unknownModel', `no route serves the model ${JSON.stringify(body.model)}`)
   const chat = readChatId(request.headers) ?? body.opening
   return success({
     route,
@@ -75,7 +75,7 @@
 
 const readPlainDestination = (index: ConfigurationIndex, request: CallerRequest, account: ClientAccount, path: string): Result<Destination, Refusal> => {
   const route = matchRoute(index.pathRoutes, path)
-  if (route === undefined) return refuse('unknownRoute', 'no route has this path')
+  if (route === undefined) return refuse('unknownRoute', 'no route matches this path')
   const chat = readChatId(request.headers) ?? request.requestId
   return success({
     route,
@@ -95,7 +95,7 @@
   const longest = route.deadlineSeconds * 1_000
   const asked = headers['x-deadline-ms']
   if (asked === undefined) return success(longest)
-  if (!WHOLE_MILLISECONDS.test(asked)) return refuse('badRequest', 'X-Deadline-Ms must be whole milliseconds')
+  if (!WHOLE_MILLISECONDS.test(asked)) return refuse('badRequest', 'X-Deadline-Ms must be an integer number of milliseconds of at most 9 digits')
   return success(Math.min(longest, Number(asked)))
 }
 
@@ -108,7 +108,7 @@
 
 export const readRoutedRequest = (index: ConfigurationIndex, request: CallerRequest): Result<RoutedRequest, Refusal> => {
   const account = authenticateCaller(index, request)
-  if (account === undefined) return refuse('unauthorized', 'the key is missing or not known')
+  if (account === undefined) return refuse('unauthorized', 'the API key is missing or unknown')
   const path = normalisePath(request.path)
   if (!path.ok) return refuse('badRequest', path.error)
   const destination = readDestination(index, request, account, path.value)
--- a/src/services/dispatch/_lib/readTokenUsage.ts
+++ b/src/services/dispatch/_lib/readTokenUsage.ts
@@ -1,8 +1,8 @@
-/** Finds the use of tokens that an engine reports, without parsing the whole answer. */
+/** Reads the token usage that a model engine reports, without parsing the complete answer. */
 
 export type TokenUsage = {
   readonly promptTokens: number
-  /** Prompt tokens that the engine's prefix cache held. */
+  /** Prompt tokens that were found in the model engine's prefix cache. */
   readonly cachedTokens: number
   readonly completionTokens: number
 }
--- a/src/services/dispatch/_lib/relayBody.ts
+++ b/src/services/dispatch/_lib/relayBody.ts
@@ -1,7 +1,7 @@
 /**
- * Passes on an answer that is not a stream of events. It is collected and
- * checked first, so that a cut one can be replaced by another attempt; one
- * that is too large to collect is passed on as it comes.
+ * Forwards an answer that is not an event stream. The answer is buffered and
+ * checked first, so that another attempt can replace a truncated one. An answer
+ * that is too large to buffer is streamed.
  */
 import type { BackendAnswer, BackendServer, Headers } from '../../../types/index.js'
 import { failAfter, type AttemptEnd } from './attemptEnd.js'
@@ -14,14 +14,14 @@
 const failCut = (message: string): AttemptEnd =>
   ({ kind: 'failed', attempt: failAfter('written', 'answerStarted', 'cut'), message, outcome: 'failed' })
 
-/** A backend server's error answer is whole, but the request may have run; a client library must not repeat it. */
+/** Marks a backend server's error answer: the request may have run, so client libraries must not retry it. */
 const describeDoubt = (context: RequestContext, status: number): Headers =>
   status >= FIRST_SERVER_ERROR && !mayRepeat(context) ? { 'x-request-outcome': 'unknown', 'x-should-retry': 'false' } : {}
 
 /**
- * Guards against an answer that its server cut short but ended properly, so
- * that length and chunks look right. It shows as JSON that does not parse.
- * A plain service may answer with JSON's content type and no body at all.
+ * Detects an answer that its server truncated but terminated properly, so that
+ * length and chunks are consistent: its JSON does not parse. An empty body with
+ * the content type of JSON is valid for a plain service.
  */
 const isBrokenJson = (context: RequestContext, answer: BackendAnswer, body: Buffer): boolean => {
   const isJson = (answer.headers['content-type'] ?? '').startsWith('application/json')
@@ -36,7 +36,7 @@
 }
 
 const deliverWhole = (context: RequestContext, answer: BackendAnswer, headers: Headers, body: Buffer): AttemptEnd => {
-  if (isBrokenJson(context, answer, body)) return failCut('the answer is not whole JSON')
+  if (isBrokenJson(context, answer, body)) return failCut('the answer is truncated: its body is not valid JSON')
   context.reply.sendWhole(answer.status, headers, body)
   const usage = context.routed.serviceKind === 'model' ? readTokenUsage(body.toString('utf8')) : undefined
   return {
--- a/src/services/dispatch/_lib/relayEvents.ts
+++ b/src/services/dispatch/_lib/relayEvents.ts
@@ -1,6 +1,7 @@
 /**
- * Passes on an engine's stream of events: whole events only, each one once and
- * in order. A stream that is cut is resumed on the same backend server.
+ * Forwards the event stream of a model engine: complete events only, each
+ * exactly once and in order. A stream that is cut off is resumed on the same
+ * backend server.
  */
 import { createParser, type EventSourceMessage } from 'eventsource-parser'
 import { orderStreamEvent, type StreamPosition } from '../../../decisions/orderStreamEvent/index.js'
@@ -14,22 +15,22 @@
 import { isUnreachable } from './watchReachability.js'
 
 const END_MARKER = '[DONE]'
-/** One event larger than this is a fault of the engine. */
+/** A larger event is treated as a fault of the model engine. */
 const MAXIMUM_EVENT_CHARACTERS = 4_000_000
-/** After the end marker only the end of the body is left to read, to keep the connection. */
+/** After the end marker, the body is read to its end for at most this long, so that the connection can be reused. */
 const CLOSING_TIMEOUT_MS = 1_000
 
-/** `idle`: silent for too long, which a busy engine may be. */
+/** `idle`: no data within the idle timeout, which also happens on a busy model engine. */
 type ConnectionEnd = 'whole' | 'cut' | 'idle' | 'callerLeft'
 
-/** What has been passed on, over all connections of the stream. */
+/** What has been forwarded so far, over all connections of the stream. */
 type StreamProgress = {
   position: StreamPosition
   usage: TokenUsage | undefined
-  /** On the request's own time line, in milliseconds. */
+  /** Milliseconds since the start of the request. */
   lastEventAt: number | undefined
   isWhole: boolean
-  /** The whole stream so far, where a repeat may ask for it; dropped when it grows too large. */
+  /** The stream so far, where a duplicate request may need it; dropped when it exceeds the buffer limit. */
   kept: Uint8Array[] | undefined
   keptBytes: number
 }
@@ -43,7 +44,7 @@
   return Buffer.from(`${lines.join('\n')}\n\n`)
 }
 
-/** The end marker may come without a number; all else follows the numbers. */
+/** Checks the event against the sequence of event ids. The end marker may come without an id. */
 const judge = (progress: StreamProgress, event: EventSourceMessage): ReturnType<typeof orderStreamEvent> =>
   event.data === END_MARKER && event.id === undefined
     ? { kind: 'forward', position: progress.position }
@@ -117,7 +118,7 @@
 
 type Resumed = { readonly answer: BackendAnswer, readonly resumes: number }
 
-/** Resumes that bring no new event count towards the limit; `made` of them were in vain already. */
+/** Resumes the stream. Resumes without a new event count towards the limit; `made` is the number of those so far. */
 const resume = async (context: RequestContext, planner: RetryPlanner, backendServer: BackendServer, progress: StreamProgress, made: number): Promise<Resumed | undefined> => {
   const { dependencies, scope, reply } = context
   const cut = failAfter('written', 'answerStarted', 'cut')
@@ -129,7 +130,7 @@
     dependencies.metrics.count('retries', { decision: plan.kind })
     const resumed = await requestResume(context, backendServer, progress.position.lastId)
     if (resumed.kind === 'resumed') return { answer: resumed.answer, resumes: resumes + 1 }
-    // With nothing passed on yet, another backend server answers sooner than a dead one comes back.
+    // While nothing has been forwarded, another backend server answers sooner than a failed one recovers.
     isResumable = resumed.kind === 'failed' && reply.hasStarted()
   }
   return undefined
@@ -146,8 +147,8 @@
     if (end === 'callerLeft') return { kind: 'callerLeft', attempt: failAfter('written', 'answerStarted', 'cancelled') }
     const hasMovedOn = progress.position.lastId > before
     const inVain = hasMovedOn ? 0 : current.resumes
-    // An engine that answers the resume and is silent again works through its queue; only the deadline ends that.
+    // An engine that accepts the resume and then sends nothing is still working through its queue; only the deadline ends that wait.
     current = await resume(context, planner, backendServer, progress, end === 'idle' ? Math.max(0, inVain - 1) : inVain)
   }
-  return { kind: 'failed', attempt: failAfter('written', 'answerStarted', 'cut'), message: 'the stream ended without its end marker', outcome: 'failed' }
+  return { kind: 'failed', attempt: failAfter('written', 'answerStarted', 'cut'), message: 'the event stream ended without its end marker [DONE]', outcome: 'failed' }
 }
--- a/src/services/dispatch/_lib/requestContext.ts
+++ b/src/services/dispatch/_lib/requestContext.ts
@@ -1,4 +1,4 @@
-/** What every step of one request's way needs. */
+/** Services, limits and state that all steps of one request share. */
 import type { MessageAuthenticator } from '../../../decisions/signChatHint/index.js'
 import type { RetryLimits } from '../../../decisions/planRetry/index.js'
 import type {
@@ -27,11 +27,11 @@
 }
 
 export type DispatchLimits = RetryLimits & {
-  /** Whole answers up to this size are checked before any byte of them is passed on. */
+  /** Answers up to this size are buffered and checked before any byte of them is forwarded. */
   readonly answerBufferBytes: number
-  /** How often an attempt without an answer asks whether its backend server can still be reached. */
+  /** Milliseconds between two reachability checks of the backend server while an attempt has no answer. */
   readonly reachabilityCheckMs: number
-  /** What a refusal says when nothing better is known, in milliseconds. */
+  /** Default Retry-After of a refusal, in milliseconds. */
   readonly comeBackAfterMs: number
 }
 
@@ -46,6 +46,6 @@
   readonly reply: Reply
 }
 
-/** Whether a request that may have run may be run again. */
+/** Whether a request may be sent again although an earlier attempt may have run. */
 export const mayRepeat = ({ routed }: RequestContext): boolean =>
   routed.route.repeatable || routed.route.backendIdempotent
--- a/src/services/dispatch/_lib/requestResume.ts
+++ b/src/services/dispatch/_lib/requestResume.ts
@@ -1,13 +1,13 @@
-/** Asks the backend server of a cut stream for the rest of it. */
+/** Requests the rest of a stream that was cut off from the same backend server. */
 import type { BackendAnswer, BackendServer } from '../../../types/index.js'
 import { describeResume } from './describeExchange.js'
 import type { RequestContext } from './requestContext.js'
 
 export type ResumeOutcome =
   | { readonly kind: 'resumed', readonly answer: BackendAnswer }
-  /** No valid answer this time. */
+  /** No valid answer; a later request may succeed. */
   | { readonly kind: 'failed' }
-  /** The backend server does not have the stream. */
+  /** The backend server does not have the stream any more, or does not support resuming. */
   | { readonly kind: 'gone' }
 
 const GONE_STATUSES: ReadonlySet<number> = new Set([404, 405, 410])
--- a/src/services/dispatch/_lib/runAttempt.ts
+++ b/src/services/dispatch/_lib/runAttempt.ts
@@ -1,6 +1,7 @@
 /**
- * One attempt at one backend server: send, check whose answer came, pass it
- * on. Load and health are recorded once for each attempt.
+ * Runs one attempt at one backend server: sends the request, checks that the
+ * answer belongs to it and forwards the answer. Load and health are recorded
+ * once for each attempt.
  */
 import type { AttemptOutcome, BackendAnswer, BackendError, BackendServer } from '../../../types/index.js'
 import { failAfter, type AttemptEnd } from './attemptEnd.js'
@@ -13,14 +14,14 @@
 
 const REFUSED_STATUS = 503
 const LEAVING = 'leaving'
-/** Errors of a server that fails as a whole, which another one need not share. */
+/** Statuses of a server or proxy that is unavailable; another backend server may still answer. */
 const UNAVAILABLE_STATUSES: ReadonlySet<number> = new Set([502, 503, 504])
 const CANCEL_TIMEOUT_MS = 2_000
 
 const sendFailures: { readonly [Kind in BackendError['kind']]: (error: Extract<BackendError, { kind: Kind }>) => AttemptEnd } = {
   notSent: ({ message }) => ({ kind: 'failed', attempt: failAfter('notSent'), message, outcome: 'notSent' }),
   noAnswer: ({ message }) => ({ kind: 'failed', attempt: failAfter('written', 'cut'), message, outcome: 'failed' }),
-  cancelled: () => ({ kind: 'failed', attempt: failAfter('written', 'cancelled'), message: 'cancelled' })
+  cancelled: () => ({ kind: 'failed', attempt: failAfter('written', 'cancelled'), message: 'the attempt was cancelled' })
 }
 
 const describeSendFailure = (error: BackendError, watch: ReachabilityWatch): AttemptEnd => {
@@ -31,9 +32,9 @@
 
 /**
  * Guards against crossed answers: a server that mixes up its connections sends
- * one caller's answer to another. It shows as a foreign or missing request id;
- * nothing of such an answer goes further, and its connection is dropped since
- * the next answer on it would be crossed too.
+ * one caller's answer to another. Such an answer has a foreign or missing
+ * request id. It is discarded, and its connection is closed, since the next
+ * answer on it would be crossed too.
  */
 const isForeign = (context: RequestContext, answer: BackendAnswer): boolean =>
   answer.headers['x-request-id'] !== context.routed.request.requestId
@@ -52,7 +53,7 @@
   const answer = sent.value
   if (isForeign(context, answer)) {
     answer.abort()
-    return { kind: 'failed', attempt: failAfter('written', 'crossedAnswer'), message: 'the answer belongs to another request', outcome: 'failed' }
+    return { kind: 'failed', attempt: failAfter('written', 'crossedAnswer'), message: 'the x-request-id of the answer is missing or belongs to another request', outcome: 'failed' }
   }
   const notRun = answer.headers['x-not-run']
   if (answer.status === REFUSED_STATUS && notRun !== undefined) {
@@ -68,7 +69,7 @@
     : await relayBody(context, backendServer, answer)
 }
 
-/** Frees the engine's slot at once; without it the stream would run on for its grace period. */
+/** Frees the slot of the model engine at once; otherwise the engine would keep generating for its grace period. */
 const cancelOnEngine = (context: RequestContext, backendServer: BackendServer): void => {
   const { backendClient, clock } = context.dependencies
   const controller = new AbortController()
--- a/src/services/dispatch/_lib/runAttempts.ts
+++ b/src/services/dispatch/_lib/runAttempts.ts
@@ -1,4 +1,4 @@
-/** Attempts at one backend server after another, until there is a final answer. */
+/** Tries one backend server after another until there is a final answer. */
 import { verifyChatHint } from '../../../decisions/verifyChatHint/index.js'
 import { describeRefusal } from '../../../decisions/describeRefusal/index.js'
 import type { Placement, Refusal, RefusalOutcome, RefusalReason, StoredAnswer } from '../../../types/index.js'
@@ -12,7 +12,7 @@
   | { readonly kind: 'complete', readonly stored?: StoredAnswer, readonly usage?: TokenUsage }
   | { readonly kind: 'refused', readonly refusal: Refusal }
 
-/** Where the chat was served last, and whether its caller said so. */
+/** Backend server that served the chat last, and whether the hint came from the caller. */
 type Hint = { readonly backendServer?: string, readonly isFromCaller: boolean }
 
 const findHint = async ({ dependencies, hintAuthenticator, routed, scope }: RequestContext): Promise<Hint> => {
@@ -26,19 +26,19 @@
   return { isFromCaller: false, ...(fromDirectory === undefined ? {} : { backendServer: fromDirectory }) }
 }
 
-/** A repeat is only offered where it is safe: for a request that did not run, or one that may run twice. */
+/** Offers a retry only where it is safe: when the request did not run, or when it may run twice. */
 const refuse = (context: RequestContext, outcome: RefusalOutcome, reason: RefusalReason, message: string, comeBackAfterMs?: number): RequestResult => {
   const isRepeatSafe = outcome === 'not-run' || mayRepeat(context)
   const retryAfterMs = isRepeatSafe ? comeBackAfterMs ?? context.limits.comeBackAfterMs : undefined
   return { kind: 'refused', refusal: describeRefusal(outcome, reason, message, retryAfterMs) }
 }
 
-/** The final answer to a request that its caller or its deadline has ended. */
+/** Final refusal of a request that its caller or its deadline has ended. */
 const refuseEnded = (context: RequestContext, planner: RetryPlanner): RequestResult => {
   const outcome = planner.mayHaveRun() ? 'unknown' : 'not-run'
   return context.scope.ended() === 'hungUp'
-    ? refuse(context, outcome, 'cancelled', 'the caller hung up')
-    : refuse(context, outcome, 'deadline', 'the deadline has passed')
+    ? refuse(context, outcome, 'cancelled', 'the caller disconnected')
+    : refuse(context, outcome, 'deadline', 'the deadline of the request has passed')
 }
 
 const completeWith = ({ stored, usage }: Extract<AttemptEnd, { kind: 'delivered' }>): RequestResult => ({
@@ -57,20 +57,20 @@
 
 const refuseUnplaced = (context: RequestContext, planner: RetryPlanner, placement: Extract<Placement, { kind: 'none' }>): RequestResult => {
   const outcome = planner.mayHaveRun() ? 'unknown' : 'not-run'
-  return refuse(context, outcome, placement.reason, 'no backend server takes the request', placement.retryAfterMs)
+  return refuse(context, outcome, placement.reason, 'no backend server can accept the request', placement.retryAfterMs)
 }
 
-/** A caller that sends its hint back needs no entry in the directory. */
+/** Stores the server in the chat directory, unless the caller's own hint names it already. */
 const rememberServer = ({ dependencies, routed }: RequestContext, hint: Hint, backendServer: string): void => {
   const isKnownToCaller = hint.isFromCaller && hint.backendServer === backendServer
   if (routed.serviceKind === 'model' && !isKnownToCaller) dependencies.chatDirectory.store(routed.chatKey, backendServer)
 }
 
-/** The final answer after a failed attempt; `undefined` once it is time for the next one. */
+/** Final refusal after a failed attempt; `undefined` once the delay before the next attempt has passed. */
 const settleFailure = async (context: RequestContext, planner: RetryPlanner, end: Exclude<AttemptEnd, { kind: 'delivered' }>): Promise<RequestResult | undefined> => {
   const { dependencies, scope, retryAllowance } = context
   if (scope.signal.aborted) return refuseEnded(context, planner)
-  if (end.kind === 'callerLeft') return refuse(context, 'unknown', 'cancelled', 'the caller left')
+  if (end.kind === 'callerLeft') return refuse(context, 'unknown', 'cancelled', 'the caller stopped reading the answer')
   const plan = planner.plan(end.attempt)
   dependencies.metrics.count('retries', { decision: plan.kind })
   if (plan.kind !== 'retryElsewhere') {
@@ -82,9 +82,9 @@
 }
 
 /**
- * Runs a request that was admitted, and claimed where its route needs that.
- * A complete answer has gone into the reply; a refusal is left to the caller
- * of this function, which may have a claim to give back first.
+ * Runs a request that was admitted and, where its route requires it, claimed.
+ * A complete answer is written to the reply here; a refusal is returned to the
+ * calling function, which may have to release a claim first.
  */
 export const runAttempts = async (context: RequestContext): Promise<RequestResult> => {
   const planner = createRetryPlanner(context)
@@ -94,7 +94,7 @@
     const placement = choosePlacement(context, planner, hint)
     if (placement.kind === 'none') return refuseUnplaced(context, planner, placement)
     const { name } = placement.backendServer
-    // The attempt counts as load before anything else can run, so that a burst does not choose one server for all.
+    // The attempt is counted as load before other requests can run, or a burst would all choose the same server.
     const end = await runAttempt(context, planner, placement.backendServer)
     if (end.kind === 'delivered') {
       rememberServer(context, hint, name)
--- a/src/services/dispatch/_lib/runClaimed.ts
+++ b/src/services/dispatch/_lib/runClaimed.ts
@@ -1,7 +1,7 @@
 /**
- * Requests that may run at most once. Nothing is sent before the claim on the
- * idempotency key is granted, and only a request that was surely not sent
- * gives its claim back.
+ * Runs requests that may run at most once. Nothing is sent before the claim on
+ * the idempotency key is granted, and the claim is released only when the
+ * request was certainly not sent.
  */
 import { describeRefusal } from '../../../decisions/describeRefusal/index.js'
 import type { ClaimKey, ClaimOutcome } from '../../../types/index.js'
@@ -14,13 +14,13 @@
 }
 
 /**
- * A repeat joins an open request of its key until just before its own
- * deadline. At the deadline itself it would be refused as not run, though the
- * request that it joined may be running.
+ * A duplicate request waits for the open request of its key until just before
+ * its own deadline. At the deadline itself it would be refused as "not-run",
+ * although the request that it waits for may be running.
  */
 const JOIN_MARGIN_MS = 50
 
-/** A refusal waits so long for its claim to be given back, so that an early repeat finds the key free. */
+/** A refusal waits at most this long for the release of its claim, so that an immediate retry finds the key free. */
 const RELEASE_WAIT_MS = 250
 
 const refuseUnsent = (context: RequestContext, reason: 'platformUnavailable' | 'deadline' | 'cancelled', message: string): RequestResult =>
@@ -28,17 +28,17 @@
 
 const release = ({ dependencies }: RequestContext, key: ClaimKey, claimId: string): Promise<void> =>
   dependencies.claims.release(key, claimId).catch((error: unknown) => {
-    dependencies.logger.warn('a claim could not be given back', { error: String(error) })
+    dependencies.logger.warn('the claim of a refused request could not be released', { error: String(error) })
   })
 
 const recordAnswer = ({ dependencies }: RequestContext, key: ClaimKey, claimId: string, result: RequestResult): void => {
   if (result.kind !== 'complete' || result.stored === undefined) return
   dependencies.claims.complete(key, claimId, result.stored).catch((error: unknown) => {
-    dependencies.logger.warn('the answer of a claim could not be recorded', { error: String(error) })
+    dependencies.logger.warn('the answer of a claimed request could not be stored', { error: String(error) })
   })
 }
 
-/** Resolves after `promise`, or after a delay that not even the deadline cuts short. */
+/** Resolves after `promise` settles or after the delay. The wait is independent of the request deadline. */
 const waitAtMost = ({ dependencies }: RequestContext, promise: Promise<void>, delayMs: number): Promise<void> =>
   new Promise((resolve) => {
     const timer = dependencies.clock.setTimer(delayMs, resolve)
@@ -49,13 +49,13 @@
   })
 
 const runGranted = async (context: RequestContext, key: ClaimKey, claimId: string): Promise<RequestResult> => {
-  // The caller may ask again for the answer under the same key, so it is fetched even when the caller has gone.
+  // The caller may request the answer again under the same key, so it is fetched even after a disconnect.
   context.scope.outliveCaller()
   const result = await runAttempts(context)
   recordAnswer(context, key, claimId, result)
   const isUnsent = result.kind === 'refused' && result.refusal.outcome === 'not-run'
   const isUnknown = result.kind === 'refused' && !isUnsent
-  // Repeats that wait here for this answer would otherwise wait until their deadlines.
+  // Duplicate requests that wait on this node for the answer would otherwise wait until their deadlines.
   if (isUnknown) context.dependencies.claims.recordUnknown?.(key, claimId)
   if (isUnsent) await waitAtMost(context, release(context, key, claimId), RELEASE_WAIT_MS)
   return result
@@ -69,17 +69,17 @@
   },
   claimedElsewhere: async ({ limits }) => ({
     kind: 'refused',
-    refusal: describeRefusal('unknown', 'claimedElsewhere', 'a request under this key was sent before; its outcome is not known here', limits.comeBackAfterMs)
+    refusal: describeRefusal('unknown', 'claimedElsewhere', 'a request with this Idempotency-Key was sent before; its outcome is not known on this router', limits.comeBackAfterMs)
   }),
   keyReused: async () => ({
     kind: 'refused',
-    refusal: describeRefusal('not-run', 'idempotencyKeyReused', 'this Idempotency-Key was used with another request')
+    refusal: describeRefusal('not-run', 'idempotencyKeyReused', 'this Idempotency-Key was already used with a different request')
   }),
-  // Only this request is known not to have run: an earlier one under the key may
-  // have, which cannot be read now. A repeat under a new key could double it.
+  // Only this request is known not to have run. An earlier one with the same key may have run, which
+  // can't be read now, so a retry under a new key could execute it twice.
   unavailable: async (context, _key, { message }) => {
-    context.dependencies.logger.warn('a key could not be claimed', { requestId: context.routed.request.requestId, message })
-    return refuseUnsent(context, 'platformUnavailable', 'the platform cannot be reached; this request was not sent; repeat it under the same Idempotency-Key')
+    context.dependencies.logger.warn('an idempotency key could not be claimed', { requestId: context.routed.request.requestId, message })
+    return refuseUnsent(context, 'platformUnavailable', 'the platform cannot be reached; this request was not sent; retry it with the same Idempotency-Key')
   }
 }
 
@@ -91,10 +91,10 @@
   const claiming = dependencies.claims.claim(key, bodyHash, scope.deadlineAt - JOIN_MARGIN_MS)
   const outcome = await scope.race(claiming)
   if (outcome === undefined) {
-    // A claim that is granted too late has nothing behind it.
+    // A claim that is granted after the request ended is released: nothing was sent under it.
     claiming.then((late) => late.kind === 'granted' ? release(context, key, late.claimId) : undefined, () => undefined)
     const reason = scope.ended() === 'hungUp' ? 'cancelled' : 'deadline'
-    return refuseUnsent(context, reason, 'ended before the request was claimed')
+    return refuseUnsent(context, reason, 'the request ended before its idempotency key was claimed')
   }
   const handle = handlers[outcome.kind] as (context: RequestContext, key: ClaimKey, outcome: ClaimOutcome) => Promise<RequestResult>
   return await handle(context, key, outcome)
--- a/src/services/dispatch/_lib/runRequest.ts
+++ b/src/services/dispatch/_lib/runRequest.ts
@@ -1,4 +1,4 @@
-/** One routed request from admission to its final answer. */
+/** Runs one routed request from admission to its final answer. */
 import { describeRefusal } from '../../../decisions/describeRefusal/index.js'
 import type { AdmissionDemand, Refusal, RefusalReason } from '../../../types/index.js'
 import type { RequestFate } from './createLedger.js'
@@ -7,7 +7,7 @@
 import { runAttempts, type RequestResult } from './runAttempts.js'
 import { runClaimed } from './runClaimed.js'
 
-/** What the ledger and the metrics keep of a finished request. */
+/** Outcome of a finished request, as the ledger and the metrics record it. */
 export type RequestEnding = { readonly fate: RequestFate, readonly reason: RefusalReason | 'none' }
 
 export const describeEnding = ({ outcome, reason }: Refusal): RequestEnding =>
@@ -26,7 +26,7 @@
   const { route, idempotencyKey } = context.routed
   const needsClaim = !route.repeatable && !route.backendIdempotent
   if (!needsClaim) return await runAttempts(context)
-  if (idempotencyKey === undefined) throw new Error('a route that may not be repeated was reached without an idempotency key')
+  if (idempotencyKey === undefined) throw new Error('a request on a route that is not repeatable has no idempotency key')
   return await runClaimed(context, idempotencyKey)
 }
 
@@ -37,7 +37,7 @@
   metrics.count('completion_tokens', {}, usage.completionTokens)
 }
 
-/** Tokens to charge: as reported, or as estimated where an answer does not report them. */
+/** Tokens to charge: as the answer reports them, else as estimated from the request. */
 const countTokens = (context: RequestContext, result: RequestResult): number => {
   if (result.kind !== 'complete') return 0
   if (result.usage === undefined) return context.routed.tokens
@@ -50,14 +50,14 @@
   const admitting = dependencies.admission.admit(describeDemand(context))
   const admitted = await scope.race(admitting)
   if (admitted === undefined) {
-    // Admitted too late: the share goes back unused.
+    // Admitted after the request ended: the ticket is returned unused.
     admitting.then((late) => { if (late.ok) late.value.finish(0) }, () => undefined)
     const reason = scope.ended() === 'hungUp' ? 'cancelled' : 'deadline'
-    return { kind: 'refused', refusal: describeRefusal('not-run', reason, 'ended while it waited for its turn', limits.comeBackAfterMs) }
+    return { kind: 'refused', refusal: describeRefusal('not-run', reason, 'the request ended while it waited in the admission queue', limits.comeBackAfterMs) }
   }
   if (!admitted.ok) {
     const { reason, retryAfterMs } = admitted.error
-    return { kind: 'refused', refusal: describeRefusal('not-run', reason, 'not admitted now', retryAfterMs) }
+    return { kind: 'refused', refusal: describeRefusal('not-run', reason, 'the request was not admitted', retryAfterMs) }
   }
   let tokensUsed = 0
   try {
--- a/src/services/dispatch/_lib/watchReachability.ts
+++ b/src/services/dispatch/_lib/watchReachability.ts
@@ -1,22 +1,22 @@
 /**
- * Guards against a backend server that vanishes without closing its
- * connections: a dead VM, a cut zone. It shows as silence on a connection that
- * looks healthy, and without this the request would wait for its deadline.
- * Silence alone proves nothing, since a busy engine is silent too; so an
- * attempt is only given up once the server does not answer probes either, and
- * only while the request can still be run elsewhere.
+ * Detects a backend server that disappears without closing its connections,
+ * for example a dead VM or a partitioned zone. Without this check the request
+ * would wait for its deadline on a connection that still looks open. A missing
+ * answer is not enough evidence, since a busy model engine is slow to answer
+ * too. An attempt is abandoned only when probes fail as well, and only while
+ * the request can still run on another server.
  */
 import type { BackendServer, Timer } from '../../../types/index.js'
 import { mayRepeat, type RequestContext } from './requestContext.js'
 
 export type ReachabilityWatch = {
-  /** Aborts with the request's scope, or when the backend server is lost. */
+  /** Aborts with the request's scope, or when the backend server is unreachable. */
   readonly signal: AbortSignal
   readonly isLost: () => boolean
   readonly stop: () => void
 }
 
-/** Checks that must agree, one interval apart, before an attempt is given up. */
+/** Consecutive failed checks, one interval apart, before an attempt is abandoned. */
 const CHECKS_TO_LOSE = 2
 
 export const isUnreachable = ({ dependencies }: RequestContext, backendServer: BackendServer): boolean =>
--- a/src/services/dispatch/index.ts
+++ b/src/services/dispatch/index.ts
@@ -1,7 +1,7 @@
 /**
- * The way of every request through the node: who asks, along which route, may
- * it run now, on which backend server, what follows a failure, and what the
- * caller is told in the end.
+ * Request pipeline of a node: authenticates the caller, finds the route, waits
+ * for admission, chooses a backend server, retries after failures and returns
+ * the final answer to the caller.
  */
 import { describeRefusal } from '../../decisions/describeRefusal/index.js'
 import type { RunningService } from '../../kernel/index.js'
@@ -43,11 +43,11 @@
 /**
  * Creates the dispatch service.
  *
- * A request that is accepted ends in exactly one of: a complete answer, a
- * refusal that says it did not run, or one that says that its outcome is
- * unknown. The ledger counts them; a sum that does not hold is a lost request.
+ * Every accepted request ends in exactly one of three ways: a complete answer,
+ * a refusal with the outcome "not-run", or a refusal with the outcome "unknown".
+ * The ledger counts each of them, so that a lost request shows as an imbalance.
  *
- * @param dependencies - The services and the backend client that it uses.
+ * @param dependencies - The services and the backend client that the pipeline uses.
  * @param options - Limits; times in milliseconds, sizes in bytes.
  * @returns The service for the kernel.
  *
@@ -70,9 +70,9 @@
     try {
       return await runRequest(context)
     } catch (error) {
-      // A broken invariant of one request: the caller is told, the others go on.
+      // A broken invariant fails this request only: its caller gets a refusal, other requests go on.
       dependencies.logger.error('a request failed inside the router', { requestId: routed.request.requestId, error: String(error) })
-      const refusal = describeRefusal('unknown', 'backendFailed', 'the router failed')
+      const refusal = describeRefusal('unknown', 'backendFailed', 'internal error of the router; the outcome of the request is unknown')
       reply.refuse(refusal)
       return describeEnding(refusal)
     } finally {
@@ -110,7 +110,7 @@
     const finish = accept()
     const configuration = dependencies.configuration.current()
     if (configuration !== undefined) return await answerIndexed(indexConfiguration(configuration), request, signal, finish)
-    const refusal = describeRefusal('not-run', 'noConfiguration', 'no configuration is in force here yet', limits.comeBackAfterMs)
+    const refusal = describeRefusal('not-run', 'noConfiguration', 'no configuration is in force on this router yet', limits.comeBackAfterMs)
     finish(describeEnding(refusal))
     return { kind: 'refused', refusal }
   }
--- a/src/services/dispatch/test.ts
+++ b/src/services/dispatch/test.ts
@@ -5,7 +5,7 @@
 import { createDispatch } from './index.js'
 import type { BackendAnswer, BackendBodyPart, BackendClient, BackendRequest, CallerAnswer, CallerRequest, ClaimOutcome, Claims, Headers, Result, BackendError } from '../../types/index.js'
 
-/** How one attempt goes, as a backend client would report it. */
+/** Result of one attempt, as a backend client reports it. */
 type Fault = 'notSent' | 'noAnswer' | 'refused' | 'crossed' | 'cut' | 'broken' | 'hangUp' | 'whole'
 
 const MAY_HAVE_RUN: ReadonlySet<Fault> = new Set(['noAnswer', 'crossed', 'cut', 'broken', 'hangUp', 'whole'])
@@ -35,7 +35,7 @@
   whole: (request) => answerWith(request, 200, {}, bytes('{}'), END)
 }
 
-/** A client whose sends go by a list of faults; used up, every send is answered. */
+/** A client that injects the listed faults in order; after the last one every send is answered. */
 const createFaultyClient = (script: readonly Fault[], hangUp: () => void): { readonly client: BackendClient, readonly sent: Fault[] } => {
   const sent: Fault[] = []
   return {
@@ -53,7 +53,7 @@
   }
 }
 
-/** A client that holds its one answer back, and is cancelled by its signal. */
+/** A client that withholds its answer until `answerNow` is called, and is cancelled by its signal. */
 const createHeldClient = (): { readonly client: BackendClient, readonly answerNow: () => boolean } => {
   let settle: (() => void) | undefined
   const { client } = createFaultyClient([], () => {})
@@ -104,8 +104,8 @@
   )
 
   /*
-   * An order is refused as "not run", is placed again, and arrives twice; or
-   * it is sent to a second server while the first one still works on it.
+   * Guards against duplicate orders: an order that ran is refused as "not-run", so that the
+   * caller places it again, or it is sent to a second server while the first one still runs it.
    */
   it('never sends an order again that may have run, and refuses it as "not run" only if no attempt may have run', async () => {
     await fc.assert(fc.asyncProperty(anyScript, anyClaim, async (script, claimOutcome) => {
@@ -121,7 +121,7 @@
     }), { seed: 8, numRuns: 400 })
   })
 
-  it('ends every repeatable request in one fate, and counts each attempt once as load', async () => {
+  it('settles every repeatable request once, and counts each attempt once as load', async () => {
     await fc.assert(fc.asyncProperty(anyScript, async (script) => {
       const { sent, answer, recorded, dispatch } = await run(script, createRequest())
       if (readRefusal(answer)?.outcome === 'not-run') expect(sent.filter((fault) => MAY_HAVE_RUN.has(fault))).toEqual([])
@@ -134,45 +134,45 @@
   })
 
   it.each<[string, CallerRequest, string, number]>([
-    ['no key', { ...createRequest(), credential: 'wrong' }, 'unauthorized', 401],
+    ['a wrong key', { ...createRequest(), credential: 'wrong' }, 'unauthorized', 401],
     ['an unknown path', createRequest({ path: '/other' }), 'unknownRoute', 404],
-    ['a path that servers read differently', createRequest({ path: '/stock/%2e%2e/stock/orders' }), 'badRequest', 400],
-    ['an order under the letters of a lookup', createRequest({ path: '/stock/%4Frders' }), 'idempotencyKeyMissing', 400],
+    ['a path with encoded dot segments', createRequest({ path: '/stock/%2e%2e/stock/orders' }), 'badRequest', 400],
+    ['an order whose path is percent-encoded to look like a lookup', createRequest({ path: '/stock/%4Frders' }), 'idempotencyKeyMissing', 400],
     ['an order without a key', createRequest({ path: '/stock/orders' }), 'idempotencyKeyMissing', 400],
-    ['an order with a key of spaces', createRequest({ path: '/stock/orders', headers: { 'idempotency-key': ' ' } }), 'badRequest', 400],
+    ['an order with a blank key', createRequest({ path: '/stock/orders', headers: { 'idempotency-key': ' ' } }), 'badRequest', 400],
     ['a chat without messages', createRequest({ path: '/v1/chat/completions', body: Buffer.from('{"model":"m"}') }), 'badRequest', 400],
     ['an unknown model', createRequest({ path: '/v1/chat/completions', body: Buffer.from('{"model":"x","messages":[{"role":"user"}]}') }), 'unknownModel', 404],
     ['a deadline that is no number', createRequest({ headers: { 'x-deadline-ms': '1e3' } }), 'badRequest', 400],
-    ['a deadline of nothing', createRequest({ headers: { 'x-deadline-ms': '0' } }), 'deadline', 504]
-  ])('refuses %s as not run', async (_name, request, reason, status) => {
+    ['a deadline of 0 ms', createRequest({ headers: { 'x-deadline-ms': '0' } }), 'deadline', 504]
+  ])('refuses %s as not-run', async (_name, request, reason, status) => {
     const { answer, sent } = await run([], request)
     expect(readRefusal(answer)).toMatchObject({ outcome: 'not-run', reason, status })
     expect(sent).toEqual([])
   })
 
-  it('refuses everything while it has no configuration', async () => {
+  it('refuses every request while no configuration is in force', async () => {
     const { answer } = await run([], createRequest(), { configuration: undefined })
     expect(readRefusal(answer)).toMatchObject({ outcome: 'not-run', reason: 'noConfiguration', retryAfterMs: 1_000 })
   })
 
-  it('passes on when to come back from admission', async () => {
+  it('returns the Retry-After that admission gives', async () => {
     const { answer } = await run([], createRequest(), { admissionRefusal: { reason: 'overShare', retryAfterMs: 2_345 } })
     expect(readRefusal(answer)).toMatchObject({ outcome: 'not-run', reason: 'overShare', status: 429, retryAfterMs: 2_345 })
   })
 
-  it('gives a repeat of an order the stored answer, marked as such', async () => {
+  it('answers a duplicate order with the stored answer, marked as a replay', async () => {
     const { answer, sent } = await run([], createOrder(), { claimOutcome: { kind: 'answered', answer: { status: 201, headers: { 'x-a': 'b' }, body: Buffer.from('done') } } })
     expect(answer).toMatchObject({ kind: 'whole', status: 201, headers: { 'x-a': 'b', 'x-idempotent-replay': 'true' } })
     expect(sent).toEqual([])
   })
 
-  it('lists the models to a known caller only', async () => {
+  it('lists the models for authenticated callers only', async () => {
     const request = createRequest({ method: 'GET', path: '/v1/models' })
     expect((await run([], request)).answer).toMatchObject({ kind: 'whole', status: 200 })
     expect(readRefusal((await run([], { ...request, credential: 'wrong' })).answer)?.reason).toBe('unauthorized')
   })
 
-  it('follows the hint that its own answer gave, and no forged one', async () => {
+  it('follows the chat hint of its own answer and ignores a forged one', async () => {
     const { answer } = await run([], createChat())
     const hint = answer.kind === 'whole' ? answer.headers['x-chat-hint'] ?? '' : ''
     const returning = createChat({ 'x-chat-hint': hint }, true)
@@ -182,14 +182,14 @@
     expect(followed).toEqual([['backend-1'], [undefined], ['backend-1']])
   })
 
-  it('asks the directory for a returning chat without a hint only', async () => {
+  it('looks up the chat directory only for a returning chat without a hint', async () => {
     const options = { directoryEntry: 'backend-3' }
     const [fresh, returning] = await Promise.all([createChat(), createChat({}, true)].map((request) => run([], request, options)))
     expect([fresh?.recorded.hints, returning?.recorded.hints]).toEqual([[undefined], ['backend-3']])
     expect(returning?.recorded.stored).toEqual(['backend-3'])
   })
 
-  it('finds an account among 17,000 by the hash of its key', async () => {
+  it('finds one of 17,000 accounts by the hash of its key', async () => {
     const configuration = createConfiguration(['http://a'])
     const clientAccounts = [...Array.from({ length: 17_000 }, (_, index) => ({ name: `a${index}`, weight: 1, keyHashes: [`${index}`] })), ...configuration.sheet.clientAccounts]
     const { answer } = await run([], createRequest(), { configuration: { ...configuration, sheet: { ...configuration.sheet, clientAccounts } } })
@@ -197,11 +197,10 @@
   })
 
   /*
-   * A chef's connection drops while the order is under way; the chef asks again
-   * with the same key and must get the answer of the first order, so its
-   * answer is fetched and kept although nobody waits for it.
+   * The caller's connection drops while the order runs. A retry with the same key must get the
+   * answer of the first order, so that answer is fetched and stored although nobody waits for it.
    */
-  it('runs an order to its end when its caller hangs up, and keeps the answer', async () => {
+  it('completes an order whose caller disconnects, and stores the answer', async () => {
     const { client, answerNow } = createHeldClient()
     const controller = new AbortController()
     const { dispatch, recorded } = createTestDispatch({ origins: ['http://a'], backendClient: client })
@@ -214,7 +213,7 @@
     expect(recorded.completed.length).toBe(1)
   })
 
-  it('ends a lookup at once when its caller hangs up', async () => {
+  it('ends a lookup at once when its caller disconnects', async () => {
     const { client } = createHeldClient()
     const controller = new AbortController()
     const { dispatch, recorded } = createTestDispatch({ origins: ['http://a'], backendClient: client })
@@ -224,7 +223,7 @@
     expect(readRefusal(await handled)).toMatchObject({ outcome: 'unknown', reason: 'cancelled' })
   })
 
-  it('leaves an open request that it joined before its own deadline', async () => {
+  it('stops waiting for the open request of its key before its own deadline', async () => {
     const waits: (number | undefined)[] = []
     const { dependencies } = createTestDispatch({ origins: ['http://a'], backendClient: createFaultyClient([], () => {}).client })
     const claims: Claims = {
@@ -240,7 +239,7 @@
     expect(waits[0]).toBeGreaterThan(1_400)
   })
 
-  it('holds retries to the budget when every server fails', async () => {
+  it('limits retries to the budget when every server fails', async () => {
     const { client, sent } = createFaultyClient(Array.from({ length: 1_000 }, () => 'notSent'), () => {})
     const { dispatch } = createTestDispatch({ origins: ['http://a', 'http://b', 'http://c'], backendClient: client, dispatch: { baseDelayMs: 0 } })
     for (let request = 0; request < 100; request += 1) await dispatch.handle(createRequest(), never)
--- a/src/services/placement/index.ts
+++ b/src/services/placement/index.ts
@@ -14,7 +14,7 @@
   readonly loadView: Pick<LoadView, 'estimateInFlight'>
 }
 
-/** A configured server with its weight and load at this moment. */
+/** A configured backend server with its current weight and load. */
 export type PlacedServer = {
   readonly name: string
   readonly weight: number
@@ -37,11 +37,11 @@
   configuration?.sheet.services.find((service) => service.name === name)
 
 /**
- * Lists the servers of a service that may get new work, with their load.
+ * Lists the backend servers of a service that accept new requests, with their load.
  *
  * @param service - Name of the service.
  * @param dependencies - Configuration, health and load of this node.
- * @returns The servers, in the order of the sheet.
+ * @returns The servers, in the order of the configuration sheet.
  */
 export const listPlacedServers = (service: string, dependencies: PlacementDependencies): readonly PlacedServer[] => {
   const servers = dependencies.configuration.current()?.sheet.backendServers ?? []
