--- a/src/services/admission/test.ts
+++ b/src/services/admission/test.ts
@@ -205,7 +205,7 @@
     expect(reasonOf(await waiting)).toBe('deadline')
   })
 
-  it('refuses at once a request that the queue can not serve before its deadline', async () => {
+  it('refuses at once a request that the queue cannot serve before its deadline', async () => {
     const { clock, ask, settle, finishOldest } = createPool(1)
     repeat(20, () => ask('a'))
     await settle()
--- a/src/services/chatDirectory/index.ts
+++ b/src/services/chatDirectory/index.ts
@@ -1,7 +1,8 @@
 /**
- * The chat directory: which backend server served a chat last. Each chat's
- * entry lives at one router, found by rendezvous over the live ones. It is
- * advice only: a lost entry costs a cache miss, never an answer.
+ * The chat directory: stores which backend server served a chat last. Each
+ * entry is stored on one router, which is selected by rendezvous hashing over
+ * the live members. The directory is only a hint for placement: a lost entry
+ * costs a cache miss, never an answer.
  */
 import { LRUCache } from 'lru-cache'
 import { rankMembers } from '../../decisions/rankMembers/index.js'
@@ -26,24 +27,24 @@
 
 const RADIX = 36
 
-/** 53 bits of hash, as much as a number holds: two of 200,000 chats are alike once in some 450,000 fills. */
+/** 53 hash bits, the precision of a number: a directory of 200,000 chats has a collision about once in 450,000 fills. */
 const hashChatKey = (chatKey: string): number =>
   hashText(chatKey) * 2 ** SECOND_HASH_BITS + (hashText(chatKey, SECOND_SEED) >>> (HASH_BITS - SECOND_HASH_BITS))
 
-/** What peers send of a chat's key, which may be long: the hash, in 11 characters at most. */
+/** Hash of a chat key in at most 11 characters; peers send it instead of the key, which may be long. */
 const shortenChatKey = (chatKey: string): string => hashChatKey(chatKey).toString(RADIX)
 
 const readShortKey = (shortKey: string): number => Number.parseInt(shortKey, RADIX)
 
 /**
- * Creates the directory of one node.
+ * Creates the chat directory of one node.
  *
- * An entry is the hash of the chat's key and the index of a server's name, so
- * that its size does not depend on the length of either.
+ * An entry consists of the hash of the chat key and the index of the server
+ * name, so that its size is independent of the length of both.
  *
  * @param dependencies - Clock, transport and membership.
- * @param options - Most entries, their life time and the time-out of a look-up, in milliseconds.
- * @returns The service for the kernel; it answers peers from its start on.
+ * @param options - Maximum number of entries, their lifetime and the time-out of a look-up in milliseconds.
+ * @returns The service for the kernel; it answers peers once started.
  *
  * @example
  * const { api } = createChatDirectory({ clock, transport, membership }, { settings })
--- a/src/services/chatDirectory/test.ts
+++ b/src/services/chatDirectory/test.ts
@@ -28,20 +28,20 @@
 }
 
 describe('createChatDirectory', () => {
-  it('finds at every node what any node stored', async () => {
+  it('finds the entry of any node from every node', async () => {
     const { clock, nodes, lookUpAll } = createNodes(['a', 'b', 'c'])
     for (const chat of CHATS) nodes[0]!.store(chat, `server of ${chat}`)
     await clock.advanceAndSettle(10)
     expect(await lookUpAll(2)).toEqual(CHATS.map((chat) => `server of ${chat}`))
   })
 
-  it('knows nothing of a chat that was never stored', async () => {
+  it('returns nothing for a chat that was never stored', async () => {
     const { lookUpAll } = createNodes(['a', 'b'])
     expect(new Set(await lookUpAll(0))).toEqual(new Set([undefined]))
   })
 
-  // A look-up at a node that is cut off would hold up the request.
-  it('gives up on entries of a node that is cut off', async () => {
+  // A look-up on a partitioned node would delay the request.
+  it('returns nothing for entries on a partitioned node', async () => {
     const { clock, network, members, nodes, lookUpAll } = createNodes(['a', 'b', 'c'])
     for (const chat of CHATS) nodes[0]!.store(chat, 'engine-1')
     await clock.advanceAndSettle(10)
@@ -50,7 +50,7 @@
     expect(new Set(found)).toEqual(new Set(['engine-1', undefined]))
   })
 
-  it('forgets an entry after its time', async () => {
+  it('drops an entry after its time to live', async () => {
     const { clock, nodes } = createNodes(['a'])
     nodes[0]!.store('chat-1', 'engine-1')
     await clock.advanceAndSettle(SETTINGS.directoryTtlMs + 1)
--- a/src/services/fleetLoad/_lib/createServerIndex.ts
+++ b/src/services/fleetLoad/_lib/createServerIndex.ts
@@ -1,4 +1,4 @@
-/** The known backend servers in the groups whose load is summed together, with their hashes, worked out once per change of the list. */
+/** Groups the known backend servers for load aggregation and hashes their names; recomputed only when the list changes. */
 import { groupBy } from '../../../kernel/groupBy/index.js'
 import { hashText } from '../../../hashing/index.js'
 
@@ -7,19 +7,19 @@
 export type HashedServer = NamedServer & { readonly hash: number }
 
 export type ServerIndex = {
-  /** By availability zone; in a single group without a name where the servers are few. */
+  /** Groups by availability zone; a single group with an empty name when there are few servers. */
   readonly groups: () => ReadonlyMap<string, readonly HashedServer[]>
   readonly size: () => number
 }
 
-/** So many servers' counts fit one packet: a message for each zone would only wake the receivers more often. */
+/** The counts of this many servers fit one packet, so a message for each zone would only cause more wake-ups at the receivers. */
 const SERVERS_OF_ONE_GROUP = 256
 const ONLY_GROUP = ''
 
 /**
- * Creates the index.
+ * Creates the index of backend servers.
  *
- * @param readServers - The list; another array whenever it changes.
+ * @param readServers - Returns the list of servers; a new array whenever it changes.
  * @returns The index of the servers.
  */
 export const createServerIndex = (readServers: () => readonly NamedServer[]): ServerIndex => {
--- a/src/services/fleetLoad/_lib/createSnapshotStore.ts
+++ b/src/services/fleetLoad/_lib/createSnapshotStore.ts
@@ -1,17 +1,17 @@
 /**
- * The last snapshot of each source, dropped when it gets old.
+ * Stores the latest snapshot of each source until it expires.
  */
 import { unpackLoadCounts } from '../../../decisions/packLoadCounts/index.js'
 import type { LoadSnapshot } from '../../../types/index.js'
 
 export type SnapshotStore = {
-  /** Takes a snapshot in; gives `false` when a newer one of the same maker is here. */
+  /** Stores a snapshot; returns `false` if a snapshot of the same source and node with the same or a higher sequence number is stored. */
   readonly put: (snapshot: LoadSnapshot, now: number) => boolean
   /** The sum over all sources, by the hash of the backend server's name. */
   readonly sum: (now: number) => ReadonlyMap<number, number>
-  /** Sources, those included that the next sum drops. */
+  /** Number of sources, including expired ones that the next sum removes. */
   readonly size: () => number
-  /** Sources heard since the last sum. */
+  /** Number of sources that were received since the last sum. */
   readonly newSources: () => number
 }
 
--- a/src/services/fleetLoad/_lib/createZoneRanks.ts
+++ b/src/services/fleetLoad/_lib/createZoneRanks.ts
@@ -1,7 +1,7 @@
 /**
- * Who sums and who forwards the load of a group of backend servers: the live
- * routers of each zone, those on large VMs first, ranked once per change of the
- * membership.
+ * Ranks the live routers of each zone for the aggregation of a server group's
+ * load, routers on large VMs first. The highest-ranked router sums, the next
+ * ones forward the totals. Ranks are computed once per change of the membership.
  */
 import { compareCapacity } from '../../../decisions/compareCapacity/index.js'
 import { rankMembers } from '../../../decisions/rankMembers/index.js'
@@ -9,7 +9,7 @@
 import type { Member, Membership } from '../../../types/index.js'
 
 export type ZoneRanks = {
-  /** The routers of a zone in the order of their responsibility for a group of servers. */
+  /** Routers of a zone, ranked for a group of servers. */
   readonly rank: (routerZone: string, group: string) => readonly Member[]
   readonly zones: () => readonly string[]
 }
@@ -35,7 +35,7 @@
       const key = `${routerZone} ${group}`
       const known = ranks.get(key)
       if (known !== undefined) return known
-      // Sorting is stable: among VMs alike the rank decides. The first sums, the next pass the totals on.
+      // The sort is stable, so rendezvous hashing ranks routers on VMs of equal capacity.
       const ranked = [...rankMembers(`load of ${group}`, routers, routers.length)].sort(compareCapacity)
       ranks.set(key, ranked)
       return ranked
--- a/src/services/fleetLoad/index.ts
+++ b/src/services/fleetLoad/index.ts
@@ -1,8 +1,9 @@
 /**
- * Load counts in a fleet too large for every router to send to every other.
- * For each group of backend servers, one router of each zone sums what the
- * routers of its zone have in flight there; these exchange their sums, and each
- * passes the fleet's total on through a tree within its zone.
+ * Aggregates load counts in a fleet that is too large for a full mesh of
+ * routers. For each group of backend servers, one router of each zone sums the
+ * requests that the routers of its zone have in flight there. These routers
+ * exchange their sums, and each distributes the fleet's total through a tree
+ * within its zone.
  */
 import { createServerIndex } from './_lib/createServerIndex.js'
 import type { NamedServer } from './_lib/createServerIndex.js'
@@ -17,9 +18,9 @@
 export type { NamedServer }
 
 export type FleetLoad = {
-  /** Whether the fleet is so large that load travels this way and not in digests to all peers. */
+  /** Whether the fleet is large enough to use aggregation instead of digests to all peers. */
   readonly isInUse: () => boolean
-  /** Requests in flight from other routers; 0 before the first snapshot. */
+  /** Requests in flight from other routers; 0 before the first snapshot or after the last one has expired. */
   readonly readOthers: (backendServer: string) => number
   readonly onChange: (listener: (backendServer: string) => void) => void
 }
@@ -28,18 +29,18 @@
   readonly clock: Clock
   readonly transport: PeerTransport
   readonly membership: Pick<Membership, 'self' | 'liveMembers' | 'onChange'>
-  /** The backend servers that this node knows; another array whenever they change. */
+  /** Backend servers that are known to this node; a new array whenever they change. */
   readonly readServers: () => readonly NamedServer[]
-  /** What this node publishes: requests in flight by backend server. */
+  /** Counts that this node publishes: requests in flight by backend server. */
   readonly readCounts: () => ReadonlyMap<string, number>
 }
 
 export type FleetLoadOptions = {
-  /** Peers up to which each router sends its digests to all others instead. */
+  /** Maximum number of peers at which each router sends its digests to all others instead. */
   readonly fullMeshPeers: number
-  /** Time between two snapshots, in milliseconds; by default it grows with the number of backend servers. */
+  /** Milliseconds between two snapshots; by default they grow with the number of backend servers. */
   readonly periodMs?: number
-  /** Copies of a snapshot that one router passes on at most. */
+  /** Maximum number of nodes to which one router forwards a snapshot. */
   readonly fanOut?: number
 }
 
@@ -47,27 +48,27 @@
 
 const SHORTEST_PERIOD_MS = 250
 const LONGEST_PERIOD_MS = 1000
-/** A snapshot's bytes grow with the servers, so the period does too, and the bytes a second stay alike. */
+/** The size of a snapshot grows with the number of servers, and so does the period, so that bytes per second stay constant. */
 const PERIOD_PER_SERVER_MS = 6
 const DEFAULT_FAN_OUT = 2
-/** Periods after which the last snapshot of a silent source no longer counts. */
+/** Periods after which the last snapshot of a source expires. */
 const MAXIMUM_AGE_PERIODS = 4
 /**
- * Shares of the period by wall time at which each stage runs at the latest: a sum is made as soon as all that
- * it needs is there, and waits no longer for a source that is slow or gone.
+ * Latest start of each stage, as a fraction of the period by wall time. A sum is computed as soon as all its
+ * inputs have arrived; at this time it no longer waits for a source that is slow or dead.
  */
 const STAGES = { node: 0, zone: 0.3, fleet: 0.6 }
 
 /**
  * Creates the load exchange of one node for a large fleet.
  *
- * Snapshots are whole and periodic: a lost one, or a router that sums and
- * dies, leaves old counts for a few periods and nothing to repair. A router
- * takes sums only from the one that it ranks first itself, so that two which
- * both believe to be first are not added up.
+ * Snapshots are complete and periodic: after the loss of a snapshot, or of a
+ * router that sums, counts are stale for a few periods and no repair is needed.
+ * A router accepts totals only from the router that it ranks highest itself, so
+ * that the totals of two routers which both rank themselves highest are not added up.
  *
- * @param dependencies - Clock, transport, membership, the servers and the own counts.
- * @param options - Sizes and the period in milliseconds.
+ * @param dependencies - Clock, transport, membership, the servers and the counts of this node.
+ * @param options - Limits, and the period in milliseconds.
  * @returns The service for the kernel, which publishes from its start to its stop.
  *
  * @example
@@ -81,7 +82,7 @@
   const ranks = createZoneRanks(membership)
   const index = createServerIndex(dependencies.readServers)
   const stores: Readonly<Record<'node' | 'zone', Map<string, SnapshotStore>>> = { node: new Map(), zone: new Map() }
-  /** Groups whose sum of this period was made before its stage's time, by what was summed. */
+  /** Groups whose sum of this period was published before the latest start of its stage, by the scope of the inputs. */
   const early: Readonly<Record<'node' | 'zone', Set<string>>> = { node: new Set(), zone: new Set() }
   const othersByServer = new Map<string, Others>()
   const listeners: ((backendServer: string) => void)[] = []
@@ -89,7 +90,7 @@
   let lastSent: ReadonlyMap<string, number> = new Map()
   let sequence = clock.wallTime()
 
-  /** Kept between changes of the membership: placement asks for each server of each request. */
+  /** Cached until the membership changes, since placement reads it for each server of each request. */
   let isLarge: boolean | undefined
   membership.onChange(() => { isLarge = undefined })
 
@@ -98,7 +99,7 @@
     return isLarge
   }
 
-  // Alike on all routers that know as many servers, so that the stages of the sums follow each other.
+  // Equal on all routers that know the same number of servers, so that their stages are synchronised.
   const findPeriodMs = (): number =>
     options.periodMs ?? Math.min(LONGEST_PERIOD_MS, Math.max(SHORTEST_PERIOD_MS, index.size() * PERIOD_PER_SERVER_MS))
 
@@ -139,7 +140,7 @@
     }
   }
 
-  /** Groups of servers, those included of which only others know a server. */
+  /** Groups that this router sums, including groups whose servers only other routers know. */
   const listSummedGroups = (): readonly string[] => {
     const groups = new Set([...index.groups().keys(), ...listToldGroups('node'), ...listToldGroups('zone')])
     return [...groups].filter((group) => isSelf(ranks.rank(ownZone(), group)[0]))
@@ -154,7 +155,7 @@
     take(createSnapshot('fleet', ownZone(), group, findStore('zone', group).sum(clock.now())))
   }
 
-  /** The sums that were not made before their stage's time. */
+  /** Publishes the sums that were not published early in this period. */
   const publishRest = (scope: 'node' | 'zone', publish: (group: string) => void): void => {
     for (const group of listSummedGroups()) if (!early[scope].delete(group)) publish(group)
   }
@@ -176,7 +177,7 @@
     if (ranks.rank(ownZone(), snapshot.group)[0]?.nodeId !== snapshot.nodeId) return
     const counts = unpackLoadCounts(snapshot)
     for (const { name, hash } of index.groups().get(snapshot.group) ?? []) {
-      // The total holds what this node itself sent last; only the rest is of others.
+      // The total includes the counts that this node sent last; only the rest belongs to others.
       const inFlight = Math.max(0, (counts.get(hash) ?? 0) - (lastSent.get(name) ?? 0))
       othersByServer.set(name, { at: clock.now(), inFlight })
       for (const listen of listeners) listen(name)
--- a/src/services/fleetLoad/test.ts
+++ b/src/services/fleetLoad/test.ts
@@ -6,7 +6,7 @@
 
 const PERIOD_MS = 1000
 const ZONES = ['venkov-a', 'venkov-b']
-/** Two stages take one period, and the sums of the first one may be empty. */
+/** All stages take one period, and the sums of the first period may be empty. */
 const SETTLE_MS = 3 * PERIOD_MS
 
 const createMember = (index: number): Member =>
@@ -47,14 +47,14 @@
 }
 
 describe('createFleetLoad', () => {
-  it.each([3, 300])('tells every node what all others have in flight on %i servers', async (servers) => {
+  it.each([3, 300])('gives every node the in-flight requests of all others with %i servers', async (servers) => {
     const { clock, nodes, readAll } = createFleet(9, 2, Array.from({ length: servers }, (_, index) => createServer(index)))
     nodes.forEach(({ counts }, index) => counts.set('engine-1', index + 1))
     await clock.advanceAndSettle(SETTLE_MS)
     expect(readAll('engine-1')).toEqual(nodes.map((_, index) => 45 - (index + 1)))
   })
 
-  it('follows counts that fall to nothing', async () => {
+  it('follows counts that drop to 0', async () => {
     const { clock, nodes, readAll } = createFleet(6)
     for (const { counts } of nodes) counts.set('engine-0', 300)
     await clock.advanceAndSettle(SETTLE_MS)
@@ -63,7 +63,7 @@
     expect(new Set(readAll('engine-0'))).toEqual(new Set([0]))
   })
 
-  it('stays out of use in a small fleet', async () => {
+  it('is not used in a small fleet', async () => {
     const { clock, nodes, readAll } = createFleet(3)
     for (const { counts } of nodes) counts.set('engine-0', 5)
     await clock.advanceAndSettle(SETTLE_MS)
@@ -71,8 +71,8 @@
     expect(new Set(readAll('engine-0'))).toEqual(new Set([0]))
   })
 
-  // What dead routers had in flight would stay counted, or nobody would sum.
-  it('goes on when routers that sum die', async () => {
+  // The counts of dead routers would remain, or no router would sum any more.
+  it('continues when routers that sum die', async () => {
     const { clock, nodes, readAll, isDead } = createFleet(8)
     for (const { counts } of nodes) counts.set('engine-2', 1)
     for (const node of nodes.slice(0, 4)) {
@@ -84,8 +84,8 @@
     expect(new Set(readAll('engine-2'))).toEqual(new Set([3]))
   })
 
-  // The counts of a zone that is out of reach would stay for ever.
-  it('drops the counts of a zone that is cut off', async () => {
+  // The counts of an unreachable zone would never expire.
+  it('drops the counts of a partitioned zone', async () => {
     const { clock, network, nodes, readAll } = createFleet(8)
     for (const { counts } of nodes) counts.set('engine-0', 1)
     await clock.advanceAndSettle(SETTLE_MS)
@@ -96,8 +96,8 @@
     expect(new Set(readAll('engine-0'))).toEqual(new Set([3]))
   })
 
-  // Sums that waited for the time of their stage were half a period old when they came, and a crowd had met at one server.
-  it('passes sums on as soon as all that they need is there', async () => {
+  // Sums that waited for the latest start of their stage arrived half a period late, and a burst went to one server.
+  it('publishes sums as soon as all their inputs have arrived', async () => {
     const { clock, nodes, readAll } = createFleet(9)
     await clock.advanceAndSettle(SETTLE_MS)
     await clock.advanceAndSettle(PERIOD_MS - clock.wallTime() % PERIOD_MS - 1)
@@ -106,7 +106,7 @@
     expect(new Set(readAll('engine-0'))).toEqual(new Set([8]))
   })
 
-  it('does not wait for a router that is silent', async () => {
+  it('does not wait for a router that is not responding', async () => {
     const { clock, network, nodes, readAll } = createFleet(9)
     for (const { counts } of nodes) counts.set('engine-0', 1)
     const silent = nodes[8]!
@@ -115,8 +115,8 @@
     expect(readAll('engine-0').slice(0, 8)).toEqual(Array.from({ length: 8 }, () => 7))
   })
 
-  // A rolling release changes the list many times a second, and no two nodes hold the same one: all counts would be dropped.
-  it('counts the load of servers that two lists share while the lists differ', async () => {
+  // During a rolling release the list changes many times a second and differs between nodes; all counts would be dropped.
+  it('counts the load of servers that are in both of two different lists', async () => {
     const { clock, nodes, readAll } = createFleet(76)
     nodes.forEach(({ counts, setServers }, index) => {
       setServers(index % 2 === 0 ? [createServer(3), ...SERVERS] : [...SERVERS, createServer(5)])
@@ -126,8 +126,8 @@
     expect(new Set(readAll('engine-1'))).toEqual(new Set([75]))
   })
 
-  // Two servers that change places in the list of one node must not be charged with each other's load.
-  it('charges no server with the load of another one', async () => {
+  // Servers in a different order in the list of one node must not be charged with each other's load.
+  it('charges no server with the load of another server', async () => {
     const { clock, nodes, readAll } = createFleet(6)
     for (const { counts } of nodes) counts.set('engine-0', 4)
     nodes[0]!.setServers([createServer(2), createServer(0), createServer(1)])
@@ -136,7 +136,7 @@
     expect(new Set(readAll('engine-2'))).toEqual(new Set([0]))
   })
 
-  it('knows nothing of a server that its own list lacks', async () => {
+  it('reports no load for a server that is not in its own list', async () => {
     const { clock, nodes } = createFleet(6)
     for (const { counts } of nodes) counts.set('engine-0', 4)
     nodes[0]!.setServers([createServer(1)])
--- a/src/services/loadView/_lib/createLoadBroadcast.ts
+++ b/src/services/loadView/_lib/createLoadBroadcast.ts
@@ -1,6 +1,6 @@
 /**
- * Tells all peers of changed load counts soon after the change, within a
- * budget of bytes a second: changes that come faster are gathered.
+ * Broadcasts changed load counts to all peers shortly after the change, within a
+ * byte budget per second: faster changes are batched.
  */
 import { createLoadDigest } from '../../../decisions/createLoadDigest/index.js'
 import type { LoadCounts } from '../../../decisions/createLoadDigest/index.js'
@@ -9,7 +9,7 @@
 export type LoadBroadcastOptions = {
   readonly clock: Clock
   readonly source: string
-  /** Bytes a second that broadcasts may take, with the headers of TCP and IP. */
+  /** Bytes per second for broadcasts, including TCP and IP headers. */
   readonly bytesPerSecond: number
   readonly readCounts: () => LoadCounts
   readonly listReceivers: () => readonly Member[]
@@ -17,19 +17,19 @@
 }
 
 export type LoadBroadcast = {
-  /** Makes sure that the counts go out soon. */
+  /** Schedules a broadcast of the counts. */
   readonly noteChange: () => void
   readonly sendFull: (receiver: Member) => void
-  /** Sequence number of the last broadcast, by which a peer sees that it missed some. */
+  /** Sequence number of the last broadcast; peers use it to detect missed broadcasts. */
   readonly sequence: () => number
 }
 
-/** Changes within this time go out together. */
+/** Changes within this time are sent together. */
 const GATHER_MS = 20
-/** Unused budget that may be saved up, as time. */
+/** Maximum unused budget that accumulates, in milliseconds of sending. */
 const BURST_MS = 500
 const MS_PER_SECOND = 1000
-/** Bytes of a digest without counts, with 40 for the headers of TCP and IP, and those of one count. */
+/** Bytes of a digest without counts, including 40 for TCP and IP headers, and bytes of one count. */
 const DIGEST_BYTES = 90
 const COUNT_BYTES = 5
 
@@ -61,8 +61,8 @@
     noteChange: () => {
       timer ??= clock.setTimer(Math.max(GATHER_MS, availableAt - clock.now()), broadcast)
     },
-    // What was broadcast last and not the counts of this moment: a count that has
-    // moved since and moves back would be in no later broadcast.
+    // Sends the counts of the last broadcast, not the current ones: a count that has changed since then
+    // and changes back would be in no later broadcast.
     sendFull: (receiver) => {
       const digest = createLoadDigest({ source, sequence }, sent, undefined)
       if (digest === undefined) return
--- a/src/services/loadView/_lib/createPeerCounts.ts
+++ b/src/services/loadView/_lib/createPeerCounts.ts
@@ -1,6 +1,6 @@
 /**
- * The last counts of every source, and their sum by backend server, kept up to
- * date digest by digest so that reading a sum costs one look-up.
+ * Latest load counts of every peer, and their sum for each backend server. The
+ * sums are updated with each digest, so that reading a sum costs one look-up.
  */
 import { mergeLoadDigest } from '../../../decisions/mergeLoadDigest/index.js'
 import type { LoadRecord } from '../../../decisions/mergeLoadDigest/index.js'
@@ -9,9 +9,9 @@
 export type PeerCounts = {
   readonly sum: (backendServer: string) => number
   readonly apply: (digest: LoadDigest) => void
-  /** Whether counts of this source are missing, given the number of its last digest. */
+  /** Whether counts of this source are missing, given the sequence number of its last digest. */
   readonly lacks: (source: string, sequence: number) => boolean
-  /** Whether the record of this source has a later number than its last digest. */
+  /** Whether the record of this source has a higher sequence number than its last digest. */
   readonly isAhead: (source: string, sequence: number) => boolean
   readonly forget: (source: string) => void
   readonly sources: () => readonly string[]
--- a/src/services/loadView/_lib/createRecentMaximum.ts
+++ b/src/services/loadView/_lib/createRecentMaximum.ts
@@ -1,6 +1,6 @@
 /**
- * The highest value that a series took lately, in two numbers: the maximum of
- * the bucket of time under way and of the one before.
+ * Recent maximum of a series in constant space: the maxima of the current and of
+ * the previous time window.
  */
 
 export type RecentMaximum = {
--- a/src/services/loadView/index.ts
+++ b/src/services/loadView/index.ts
@@ -1,8 +1,8 @@
 /**
- * The load view: how many requests each backend server has in flight from the
- * whole fleet. It is the sum of three parts that never overlap: this node's
- * own requests, the counts that live peers published last, and what the
- * server's own report shows beyond both.
+ * The load view: estimates how many requests of the whole fleet each backend
+ * server has in flight. The estimate is the sum of three disjoint parts: this
+ * node's own requests, the latest counts of live peers, and the requests that
+ * the server reports beyond both (the excess).
  */
 import { createLoadBroadcast } from './_lib/createLoadBroadcast.js'
 import { createPeerCounts } from './_lib/createPeerCounts.js'
@@ -20,39 +20,39 @@
   readonly membership: Pick<Membership, 'members' | 'onChange'>
   readonly exchange: HeartbeatExchange
   /**
-   * Whether this node publishes what a server's report shows beyond the counts
-   * of the routers. At most one router does so for a server, or it would be
-   * counted more than once.
+   * Whether this node publishes the excess of a server: the requests that its
+   * report shows beyond the counts of the routers. At most one router may do
+   * so for each server, or the excess would be counted more than once.
    */
   readonly publishesExcess?: (backendServer: string) => boolean
-  /** Takes the place of the digests to all peers when the fleet is large. */
+  /** Replaces the digests to all peers when the fleet is large. */
   readonly fleetLoad?: FleetLoad
 }
 
-/** `publishedCounts` is for the exchange in a large fleet: what this node tells others of its load. */
+/** `publishedCounts` returns the load that this node reports to others, for the exchange in a large fleet. */
 export type RunningLoadView = RunningService<LoadView> & { readonly publishedCounts: () => ReadonlyMap<string, number> }
 
 export type LoadViewOptions = {
   readonly settings: Pick<RouterSettings, 'nodeId' | 'loadReportIntervalMs' | 'deadAfterMs'>
-  /** Bytes a second for digests to peers, with the headers of TCP and IP; 3,000 by default. */
+  /** Bytes per second for digests to peers, including TCP and IP headers; 3,000 by default. */
   readonly bytesPerSecond?: number
 }
 
 type Excess = { readonly requests: number, readonly peerSum: number, readonly until: number }
 
 const DEFAULT_BYTES_PER_SECOND = 3000
-/** Report intervals that an excess is believed for without a new report. */
+/** Report intervals after which an excess expires without a new report. */
 const EXCESS_INTERVALS = 3
-/** A peer silent for so many times the time to death no longer counts, whatever rumours say. */
+/** The counts of a peer are dropped after this many times `deadAfterMs` without a message from it, whatever state gossip gives it. */
 const SILENCE_FACTOR = 3
 
 /**
  * Creates the load view of one node.
  *
- * The report of a backend server is late and covers all routers, so its
- * requests are mostly counted already. Only what it shows above the highest
- * number that was known here since the report was made is added: a request
- * that began or ended in between is then never counted twice.
+ * The report of a backend server arrives late and covers all routers, so most of
+ * its requests are counted already. Only the part above the highest count known
+ * here since the report was made is added. A request that started or ended in
+ * between is thus never counted twice.
  *
  * @param dependencies - Clock, membership and the heartbeat exchange.
  * @param options - Settings; times in milliseconds.
@@ -113,15 +113,15 @@
     const excess = excesses.get(backendServer)
     if (excess === undefined || clock.now() >= excess.until) return 0
     if (isOwnToPublish(backendServer)) return excess.requests
-    // The router that publishes the excess may just have done so: what the peers'
-    // counts grew by since the report may be the same requests.
+    // Another router may have published the excess since the report: any growth of the
+    // peers' counts since then may be the same requests.
     return Math.max(0, excess.requests - Math.max(0, readPeers(backendServer) - excess.peerSum))
   }
 
-  /** Without a publisher each node keeps the excess that it saw to itself. */
+  /** Whether this node publishes the excess; without publishers each node uses its own excess locally. */
   const isOwnToPublish = (backendServer: string): boolean => dependencies.publishesExcess?.(backendServer) ?? true
 
-  /** Sums have their own period: a timer a change would only wake the process. */
+  /** Load sums of a large fleet have their own period; a timer for each change would only cost wake-ups. */
   const noteChange = (): void => { if (!isInLargeFleet()) broadcast.noteChange() }
 
   const changeOwn = (backendServer: string, difference: number): void => {
@@ -135,7 +135,7 @@
 
   const applyReport = (backendServer: string, report: LoadReport): void => {
     const now = clock.now()
-    // Older than the maximum reaches back: requests that have ended since would pass for unknown ones.
+    // The report is older than the window of the maximum: requests that have ended since would count as excess.
     if (report.ageMs > windowMs) return
     const requests = Math.max(0, report.running + report.waiting - findRecentMaximum(backendServer).read(now))
     if (requests === 0) excesses.delete(backendServer)
@@ -169,9 +169,8 @@
     send: (receiver, digest) => transport.send(receiver.address, packLoadDigest(digest))
   })
 
-  // A restarted peer numbers its digests from the beginning, and all of them would
-  // pass for late ones of its previous incarnation. The new incarnation tells, and its
-  // record begins anew.
+  // A restarted peer numbers its digests from the beginning again, so they would look
+  // like late digests of its previous incarnation. A new incarnation resets the record.
   const isOtherIncarnation = (source: string): boolean => findMember(source)?.incarnation !== incarnations.get(source)
 
   const isGone = (nodeId: string): boolean => {
@@ -189,8 +188,8 @@
     }
   }
 
-  // In a partition where others still hear a peer that this node doesn't, rumours
-  // keep it live and its last counts would stay for ever.
+  // In a partial partition, other nodes still receive the heartbeats of a peer that this node doesn't.
+  // Gossip then keeps the peer live here, and its last counts would never expire.
   const dropSilent = (): void => {
     const limit = clock.now() - SILENCE_FACTOR * settings.deadAfterMs
     for (const [source, at] of heardAt) {
@@ -204,7 +203,7 @@
     heardAt.set(member.nodeId, clock.now())
     if (loadSequence !== undefined) {
       lastSequences.set(member.nodeId, loadSequence)
-      // A digest of the previous incarnation came after the first heartbeat of the new one.
+      // A digest of the previous incarnation arrived after the first heartbeat of the new one.
       if (peerCounts.isAhead(member.nodeId, loadSequence)) peerCounts.forget(member.nodeId)
     }
     if (loadWanted === true) broadcast.sendFull(member)
@@ -221,7 +220,7 @@
 
   const contribute = (receiver: Member): HeartbeatParts => {
     if (isInLargeFleet()) return {}
-    // A digest that was lost shows at the next one, and at the latest by the number in the heartbeat.
+    // A lost digest is detected by the next one, or at the latest by the sequence number in the heartbeat.
     const lastSequence = lastSequences.get(receiver.nodeId)
     const isLacking = lastSequence !== undefined && peerCounts.lacks(receiver.nodeId, lastSequence)
     return { loadSequence: broadcast.sequence(), ...(isLacking ? { loadWanted: true } : {}) }
--- a/src/services/loadView/test.ts
+++ b/src/services/loadView/test.ts
@@ -5,7 +5,7 @@
 import { createMemoryPeerNetwork } from '../../emulator/createMemoryPeerNetwork/index.js'
 import type { Heartbeat, LoadReport, Member, MemberState } from '../../types/index.js'
 
-/** Long enough for a digest to go out and arrive, whatever was sent before. */
+/** Long enough for a digest to be sent and received, whatever was sent before. */
 const SPREAD_MS = 600
 const SETTINGS = { loadReportIntervalMs: 1000, deadAfterMs: 4000 }
 
@@ -14,7 +14,7 @@
 
 const createReport = (running: number, changes: Partial<LoadReport> = {}): LoadReport => ({ running, waiting: 0, slots: 8, leaving: false, ageMs: 500, ...changes })
 
-/** Views whose digests go over a network in memory, and whose heartbeats go when the test says so. */
+/** Load views that send digests over an in-memory network; heartbeats are sent by `beat`. */
 const createViews = (names: readonly string[], publisher?: string) => {
   const clock = createManualClock()
   const dead = new Set<string>()
@@ -33,7 +33,7 @@
   }
   const nodes = new Map(names.map((nodeId) => [nodeId, createNode(nodeId)]))
   const notify = (): void => { for (const listen of listeners) listen() }
-  /** Heartbeats both ways: one tells the number of the last digest, the other asks for what is missing. */
+  /** Heartbeats in both directions: one carries the sequence number of the last digest, the other requests missing counts. */
   const beat = async (from: string, to: string): Promise<void> => {
     for (const [sender, receiver] of [[from, to], [to, from]] as const) {
       const heartbeat: Heartbeat = { kind: 'heartbeat', member: describeMember(sender), rumours: [], ...nodes.get(sender)!.exchange.collect(createMember(receiver)) }
@@ -63,7 +63,7 @@
 }
 
 describe('createLoadView', () => {
-  it('sums the own requests and those that peers published', async () => {
+  it('sums its own requests and those that peers published', async () => {
     const { view, spread } = createViews(['a', 'b', 'c'])
     startMany(view('a'), 2)
     startMany(view('b'), 3)
@@ -73,7 +73,7 @@
     expect(view('a').ownInFlight('engine-1')).toBe(2)
   })
 
-  it('tells peers of a change within a tenth of a second', async () => {
+  it('broadcasts a change to peers within 100 ms', async () => {
     const { clock, view, spread } = createViews(['a', 'b'])
     await spread()
     startMany(view('a'), 1)
@@ -81,7 +81,7 @@
     expect(view('b').estimateInFlight('engine-1')).toBe(1)
   })
 
-  it('sends nothing when nothing changed', async () => {
+  it('sends no digest when no count has changed', async () => {
     const { view, transport, spread } = createViews(['a', 'b'])
     startMany(view('a'), 1)
     await spread()
@@ -90,8 +90,8 @@
     expect(transport('a').messagesSent()).toBe(before)
   })
 
-  // Digests of each change would pass the byte budget when requests come fast.
-  it('keeps to its budget however many requests there are', async () => {
+  // A digest for each change would exceed the byte budget at a high request rate.
+  it('stays within its byte budget at any request rate', async () => {
     const { clock, view, transport } = createViews(['a', 'b', 'c', 'd'])
     for (let turn = 0; turn < 2000; turn++) {
       view('a').recordStart(`engine-${turn % 40}`)
@@ -109,7 +109,7 @@
     expect(() => view('a').recordEnd('engine-1')).toThrow(/more requests ended/)
   })
 
-  // A lost digest would leave a wrong count until its server changes again.
+  // A lost digest would leave a wrong count until the count of its server changes again.
   it('recovers from a lost digest', async () => {
     const { view, spread, lose, beat } = createViews(['a', 'b'])
     startMany(view('a'), 1)
@@ -123,8 +123,8 @@
     expect(view('b').estimateInFlight('engine-1')).toBe(0)
   })
 
-  // A lost last change would stay unnoticed, since no later digest shows the gap.
-  it('recovers from a lost digest that no other follows', async () => {
+  // The loss of the last digest would go unnoticed, since no later digest reveals the gap.
+  it('recovers when the last digest is lost', async () => {
     const { view, spread, lose, beat } = createViews(['a', 'b'])
     startMany(view('a'), 1)
     await spread()
@@ -134,8 +134,8 @@
     expect(view('b').estimateInFlight('engine-1')).toBe(0)
   })
 
-  // Digests of a restarted router would pass for late ones of its previous incarnation.
-  it('begins anew with a peer that restarted', async () => {
+  // Digests of a restarted router would look like late ones of its previous incarnation.
+  it('resets the counts of a peer that restarted', async () => {
     const { view, spread, restart, beat } = createViews(['a', 'b'])
     for (let turn = 0; turn < 5; turn++) {
       startMany(view('a'), 1)
@@ -149,7 +149,7 @@
     expect(view('b').estimateInFlight('engine-1')).toBe(1)
   })
 
-  it('drops the counts of a peer that died', async () => {
+  it('drops the counts of a dead peer', async () => {
     const { view, spread, kill } = createViews(['a', 'b'])
     startMany(view('b'), 3)
     await spread()
@@ -157,7 +157,7 @@
     expect(view('a').estimateInFlight('engine-1')).toBe(0)
   })
 
-  it('drops the counts of a peer that is silent while rumours keep it live', async () => {
+  it('drops the counts of a peer that sends no messages while gossip keeps it live', async () => {
     const { clock, view, beat, spread } = createViews(['a', 'b', 'c'])
     startMany(view('b'), 3)
     await spread()
@@ -167,10 +167,10 @@
   })
 
   it.each([
-    { case: 'shows what routers that are cut off have sent', before: 2, report: createReport(7), estimate: 7 },
+    { case: 'includes requests of routers that are partitioned', before: 2, report: createReport(7), estimate: 7 },
     { case: 'counts waiting requests', before: 2, report: createReport(3, { waiting: 2 }), estimate: 5 },
-    { case: 'adds nothing that is known already', before: 4, report: createReport(4), estimate: 4 },
-    { case: 'is below what is known', before: 4, report: createReport(1), estimate: 4 },
+    { case: 'equals the known count', before: 4, report: createReport(4), estimate: 4 },
+    { case: 'is below the known count', before: 4, report: createReport(1), estimate: 4 },
     { case: 'is too old to compare', before: 2, report: createReport(7, { ageMs: 60_000 }), estimate: 2 }
   ])('estimates $estimate when a report $case', ({ before, report, estimate }) => {
     const { view } = createViews(['a'])
@@ -179,8 +179,8 @@
     expect(view('a').estimateInFlight('engine-1')).toBe(estimate)
   })
 
-  // Requests that ended since a late report was made would be counted as somebody else's for seconds.
-  it('does not count requests twice that ended since the report was made', async () => {
+  // Requests that ended after a late report was made would be counted as requests of other routers for seconds.
+  it('does not count requests that ended since the report was made', async () => {
     const { clock, view } = createViews(['a'])
     startMany(view('a'), 5)
     await clock.advanceAndSettle(500)
@@ -189,7 +189,7 @@
     expect(view('a').estimateInFlight('engine-1')).toBe(0)
   })
 
-  it('forgets an excess that no report confirms', async () => {
+  it('drops an excess that no new report confirms', async () => {
     const { clock, view } = createViews(['a'])
     view('a').applyReport('engine-1', createReport(5))
     await clock.advanceAndSettle(3 * SETTINGS.loadReportIntervalMs)
--- a/src/services/promptDirectory/_lib/createPlaceNews.ts
+++ b/src/services/promptDirectory/_lib/createPlaceNews.ts
@@ -1,9 +1,9 @@
 /**
- * Which places of prompt parts a node tells its peers, and whom. A place is told
- * again only when it was not heard of for a while, so that the bytes follow the
- * prompts in use and not the requests. In a large fleet one node of each zone
- * gets the news and passes them on there: with 69 nodes a node sends 4 messages
- * in a period instead of 68.
+ * Announces to peers which servers cache which prompt parts. A location is
+ * announced again only when no node has announced it for a while, so that the
+ * traffic follows the number of prompts in use, not the number of requests. In a
+ * large fleet one node of each zone receives the announcements and forwards them
+ * within its zone: with 69 nodes a node sends 4 messages in a period instead of 68.
  */
 import { LRUCache } from 'lru-cache'
 import { growTo } from './growTo.js'
@@ -12,9 +12,9 @@
 
 export type PlaceNews = {
   readonly add: (part: string, instanceKey: string) => void
-  /** Notes what a peer tells, so that it isn't told again, and keeps it for the own zone if that is wanted. */
+  /** Records a peer's announcement, so that it isn't repeated, and queues it for this zone if the peer requests that. */
   readonly take: (message: PeerMessageOf<'promptPlaces'>) => void
-  /** Sends what has come together. */
+  /** Sends the queued announcements. */
   readonly tell: () => void
 }
 
@@ -26,11 +26,11 @@
 
 type Places = Map<string, { readonly part: string, readonly instanceKey: string }>
 
-/** Some 15 bytes each: after a start, what a zone's engines keep goes out in a period or two. */
+/** About 15 bytes each: after a start, the cached parts of a zone's engines are announced within one or two periods. */
 const PLACES_PER_MESSAGE = 1_024
-/** What has to wait for its message; two zones' engines together. */
+/** Maximum queued locations: enough for the engines of two zones together. */
 const PLACES_WAITING = 8_192
-/** A quarter of the time for which a place is believed without news of it. */
+/** A quarter of the time after which a location that is not announced again counts as evicted. */
 const RETELL_MS = 15_000
 const PLACES_REMEMBERED = 20_000
 
@@ -46,7 +46,7 @@
   return { kind: 'promptPlaces', places: [...byServer].map(([server, parts]) => ({ server, parts })), ...(isForZone ? { isForZone } : {}) }
 }
 
-/** Creates the news of one node; `fullMeshPeers` is the number of peers up to which it tells all of them itself. */
+/** Creates the announcer of one node. Up to `fullMeshPeers` peers, it sends to all of them directly. */
 export const createPlaceNews = ({ clock, transport, membership }: PlaceNewsDependencies, fullMeshPeers: number): PlaceNews => {
   const toldAt = new LRUCache<string, number>(growTo(PLACES_REMEMBERED))
   const own: Places = new Map()
@@ -58,7 +58,7 @@
     if (places.size < PLACES_WAITING) places.set(formatPlace(part, instanceKey), { part, instanceKey })
   }
 
-  /** Takes out what fits a message, the oldest first. */
+  /** Removes and returns the oldest queued locations that fit one message. */
   const takeMessage = (places: Places): Places => {
     const taken: Places = new Map([...places].slice(0, PLACES_PER_MESSAGE))
     for (const place of taken.keys()) places.delete(place)
@@ -72,7 +72,7 @@
     for (const { nodeId, address } of receivers) if (nodeId !== self) transport.send(address, message)
   }
 
-  /** The first node of each zone; where that is this node, it passes on to its zone itself. */
+  /** The node of each zone that forwards announcements there; this may be the node itself. */
   const listForwarders = (): readonly Member[] => {
     const members = membership.liveMembers()
     const zones = new Set(members.map(({ availabilityZone }) => availabilityZone))
@@ -105,7 +105,7 @@
       }
     },
     tell: () => {
-      // Before peers are known, what was learnt after a start waits for them.
+      // While no peers are known, locations that were recovered after a start stay queued.
       if (membership.liveMembers().length <= 1) return
       if (membership.liveMembers().length - 1 > fullMeshPeers) tellThroughForwarders()
       else send(membership.liveMembers(), takeMessage(own), false)
--- a/src/services/promptDirectory/_lib/createPlacesRecovery.test.ts
+++ b/src/services/promptDirectory/_lib/createPlacesRecovery.test.ts
@@ -17,7 +17,7 @@
 
 type FleetOptions = { readonly nodesPerZone: number, readonly enginesPerZone: number, readonly restarted?: number }
 
-/** Nodes of two zones, of which the first `restarted` ones (all by default) have just started; news reach all nodes at once. */
+/** Nodes of two zones. The first `restarted` nodes (by default all) have just started. Announcements reach all nodes at once. */
 const createFleet = ({ nodesPerZone, enginesPerZone, restarted = Infinity }: FleetOptions) => {
   const clock = createManualClock()
   const network = createMemoryPeerNetwork({ clock })
@@ -68,9 +68,9 @@
   }
 }
 
-describe('what engines keep', () => {
-  // Chats that return after a loss of power would be read again, or engines meet a crowd of questions.
-  test.each([[1, 3], [3, 6], [25, 33]])('is known to all after a start of %i nodes a zone with %i engines, each asked once', async (nodesPerZone, enginesPerZone) => {
+describe('recovery of the prompt directory', () => {
+  // After a power failure, prompts would otherwise be computed again, or a burst of queries would hit the engines.
+  test.each([[1, 3], [3, 6], [25, 33]])('reaches all nodes after a start of %i nodes per zone with %i engines, each queried once', async (nodesPerZone, enginesPerZone) => {
     const fleet = createFleet({ nodesPerZone, enginesPerZone })
     fleet.start()
     await fleet.clock.advanceAndSettle(400)
@@ -78,7 +78,7 @@
     for (const { known } of fleet.nodes) expect(known.size).toBe(2 * enginesPerZone)
   })
 
-  test('is asked of a peer that runs, not of the engines, by a node that starts alone', async () => {
+  test('queries a running peer and no engines when a single node restarts', async () => {
     const fleet = createFleet({ nodesPerZone: 3, enginesPerZone: 6, restarted: 1 })
     fleet.start()
     await fleet.clock.advanceAndSettle(3_000)
--- a/src/services/promptDirectory/_lib/createPlacesRecovery.ts
+++ b/src/services/promptDirectory/_lib/createPlacesRecovery.ts
@@ -1,9 +1,10 @@
 /**
- * What a node that has just started does to learn where prompts are kept: the
- * engines outlive the nodes, and prompts that they keep need not be read again.
- * It asks a peer of its zone that has been running. Where there is none, the zone's
- * nodes ask its engines, each a part of them, and tell all others: each answer delays
- * its engine and takes a small VM some milliseconds.
+ * Recovers the prompt directory of a node that has just started. Model engines
+ * keep running while nodes restart, and prompts in their caches need not be
+ * computed again. The node queries a peer of its zone that has been running. If
+ * there is none, the nodes of the zone divide its engines among them, query each
+ * engine once and announce the result to all peers: each query delays its engine
+ * and takes a small VM some milliseconds.
  */
 import { rankMembers } from '../../../decisions/rankMembers/index.js'
 import { selectZoneReaders } from '../../../decisions/selectZoneReaders/index.js'
@@ -15,12 +16,12 @@
   readonly logger: Logger
   readonly random: RandomSource
   readonly registry: Pick<InstanceRegistry, 'all'>
-  /** Whether the engines are known; `onKnown` is called when that may have changed. */
+  /** Whether the list of engines has been read; `onKnown` registers a listener for changes of this state. */
   readonly areEnginesKnown: () => boolean
   readonly onKnown: (listener: () => void) => void
   readonly memory: EngineMemorySource
   readonly availabilityZone: string
-  /** Whether a backend server keeps prompts at all. */
+  /** Whether a backend server is a model engine and so has a prompt cache. */
   readonly isEngine: (instance: BackendInstance) => boolean
 }
 
@@ -31,32 +32,32 @@
   readonly recovery: PlacesRecoverySources
   readonly isKnown: (instanceKey: string) => boolean
   readonly noteAll: (kept: readonly KeptParts[]) => void
-  /** Passes a place on to peers. */
+  /** Announces a location to peers. */
   readonly tell: (part: string, instanceKey: string) => void
 }
 
 export type PlacesRecovery = {
   readonly start: () => void
-  /** Called when the first answers have come. */
+  /** Registers a listener for the end of the first queries. */
   readonly onLearnt: (listener: () => void) => void
-  /** Whether all engines of the zone are known, as far as they answered. */
+  /** Whether recovery is complete: all engines of the zone are covered, except those that did not answer. */
   readonly isWhole: () => boolean
 }
 
-/** Peers of the zone are known so long after the engines are, in most starts. */
+/** Delay after the engines are known until, in most starts, the peers of the zone are known too. */
 const PEERS_KNOWN_MS = 150
-/** Engines that nobody told of by then are asked once more; their node may have started later, or not at all. */
+/** Engines without an announcement after this time are queried: the node assigned to them may have started late or not at all. */
 const REMAINING_MS = 1_000
-/** A peer that runs answers within some milliseconds. */
+/** A running peer answers within some milliseconds. */
 const ASK_TIMEOUT_MS = 200
-/** Nodes of a zone ask its remaining engines at different moments, so that the second hears of it from the first. */
+/** Maximum random delay before the remaining engines are queried, so that a second node receives the announcements of the first one. */
 const SPREAD_MS = 600
-/** Nodes of a zone that ask the remaining engines: the second does where the first one's news were lost. */
+/** Nodes of a zone that query the remaining engines: the second covers the loss of the first one's announcements. */
 const ASKING_NODES = 2
 
 const wait = (clock: Clock, ms: number): Promise<void> => new Promise((resolve) => { clock.setTimer(ms, resolve) })
 
-/** Creates the recovery of one node; it begins with `start`. */
+/** Creates the recovery of one node; it runs once `start` is called. */
 export const createPlacesRecovery = (dependencies: PlacesRecoveryDependencies): PlacesRecovery => {
   const { clock, transport, membership, recovery, isKnown, noteAll, tell } = dependencies
   const { registry, logger, random, availabilityZone } = recovery
@@ -102,7 +103,7 @@
     recovery.onKnown(() => { if (recovery.areEnginesKnown()) resolve() })
   })
 
-  /** The node of the zone that asks an engine: each gets its part, and an engine is asked once. */
+  /** Whether this node is the one of its zone that queries the engine; every engine is assigned to one node. */
   const isOwnToAsk = (engine: BackendInstance, nodes: readonly Member[]): boolean => {
     const [first] = rankMembers(formatInstanceKey(engine), nodes)
     return first?.nodeId === membership.self().nodeId
@@ -128,7 +129,7 @@
     if (!isWhole) await askOwnPart()
     for (const listener of listeners) listener()
     if (!isWhole) await wait(clock, REMAINING_MS)
-    // What other zones' nodes told before they knew this one.
+    // A random peer adds the locations that nodes of other zones announced before they knew this node.
     const [other] = listPeers()
     if (other !== undefined && listUnknownEngines().length > 0) await askPeer(other)
     if (!isWhole) await askRemaining()
--- a/src/services/promptDirectory/index.ts
+++ b/src/services/promptDirectory/index.ts
@@ -1,7 +1,8 @@
 /**
- * Which prompt parts are believed to be in which backend server's memory, from
- * this node's own sends and from what peers tell of theirs. Advice only: a
- * wrong belief costs a read of the prompt, never an answer.
+ * Directory of cached prompt parts: estimates which backend servers have which
+ * prompt parts in their prompt cache, from the requests that this node sends and
+ * from announcements of peers. The directory is only a hint for placement: a
+ * wrong entry costs a prompt computation, never an answer.
  */
 import { LRUCache } from 'lru-cache'
 import type { RunningService } from '../../kernel/index.js'
@@ -14,11 +15,11 @@
 export type { PlacesRecoverySources } from './_lib/createPlacesRecovery.js'
 
 export type PromptDirectory = {
-  /** Notes that a backend server reads or has read these parts now. */
+  /** Records that a backend server processes these prompt parts now and so caches them. */
   readonly record: (parts: readonly PromptPart[], instanceKey: string) => void
-  /** Tokens of the longest beginning of `parts` that each server is believed to keep, by its key; servers that keep none are left out. */
+  /** Estimated tokens of the longest prefix of `parts` that each server caches, by instance key; servers that cache none are left out. */
   readonly listKept: (parts: readonly PromptPart[]) => ReadonlyMap<string, number>
-  /** Called when what was asked at a start has been answered. */
+  /** Registers a listener for the end of the first recovery queries after a start. */
   readonly onLearnt: (listener: () => void) => void
 }
 
@@ -26,34 +27,34 @@
   readonly clock: Clock
   readonly transport: Pick<PeerTransport, 'send' | 'handle' | 'request'>
   readonly membership: Pick<Membership, 'liveMembers' | 'self'>
-  /** How to learn after a start what engines keep; left out where nothing can be kept yet. */
+  /** Sources for recovering the directory after a start; left out where no engine can have cached anything yet. */
   readonly recovery?: PlacesRecoverySources
 }
 
 export type PromptDirectoryOptions = {
-  /** Time between two messages to peers in milliseconds. */
+  /** Milliseconds between two announcements to peers. */
   readonly periodMs: number
-  /** Parts that are remembered at most. */
+  /** Maximum number of prompt parts in the directory. */
   readonly maximumParts: number
-  /** Peers up to which each node tells all others itself. */
+  /** Maximum number of peers at which each node announces to all others directly. */
   readonly fullMeshPeers: number
 }
 
-/** A part unused for so long is taken for evicted: engines keep the parts used last. */
+/** A part that is unused for this long counts as evicted: engines evict the least recently used parts first. */
 const KEPT_MS = 60_000
-/** Some 15 bytes each: a reply stays under 60 kB, which a small VM's link takes in 70 ms. */
+/** About 15 bytes each: a reply stays under 60 kB, which the network link of a small VM transfers in 70 ms. */
 const PLACES_PER_REPLY = 4_000
-/** Servers that one part is remembered at: more than any service has, since a part that begins many prompts is at most of them. */
+/** Maximum servers recorded for one part. This exceeds the servers of any service, since a part that starts many prompts is cached on most of them. */
 const SERVERS_PER_PART = 1_024
 
 export const defaultPromptDirectoryOptions: PromptDirectoryOptions = { periodMs: 250, maximumParts: 20_000, fullMeshPeers: 12 }
 
 /**
- * Creates the directory.
+ * Creates the prompt directory of one node.
  *
- * @param dependencies - Clock, peers and who they are.
- * @param options - Sizes and the period.
- * @returns The service; it tells peers from its start to its stop.
+ * @param dependencies - Clock, peer transport, membership and the sources for recovery.
+ * @param options - Limits, and the period in milliseconds.
+ * @returns The service; it announces to peers from its start to its stop.
  *
  * @example
  * const { api } = createPromptDirectory({ clock, transport, membership })
@@ -71,7 +72,7 @@
       servers = new Map()
       places.set(part, servers)
     }
-    // Deleting first keeps the map in the order of last use.
+    // Deleting first moves the entry to the end, so that the map stays in order of last use.
     servers.delete(instanceKey)
     servers.set(instanceKey, clock.now())
     if (servers.size <= SERVERS_PER_PART) return
@@ -83,7 +84,7 @@
     for (const { server, parts } of kept) for (const part of parts) note(part, server)
   }
 
-  /** The parts used last, oldest first, as far as they fit a message. */
+  /** The most recently used parts that fit one message; the parts of each server are listed oldest first. */
   const listPlaces = (): readonly KeptParts[] => {
     const byServer = new Map<string, string[]>()
     let count = 0
@@ -101,7 +102,7 @@
   const record = (parts: readonly PromptPart[], instanceKey: string): void => {
     for (const [index, { id }] of parts.entries()) {
       note(id, instanceKey)
-      // The last part is the request's own; peers have no use for it.
+      // The last part belongs to this request only, so it is not announced to peers.
       if (index < parts.length - 1) news.add(id, instanceKey)
     }
   }
--- a/src/services/promptDirectory/test.ts
+++ b/src/services/promptDirectory/test.ts
@@ -6,7 +6,7 @@
 
 const PARTS = [{ id: 'shop', tokens: 800 }, { id: 'subject', tokens: 400 }, { id: 'own', tokens: 200 }]
 const SERVER = 'engine-1@1'
-/** Two periods, with the way to the forwarder and from it to its zone. */
+/** Two periods: one to the forwarder and one from it to its zone. */
 const TOLD_MS = 600
 
 const createMember = (index: number, zones: number): Member =>
@@ -28,14 +28,14 @@
 }
 
 describe.each([['few', 5], ['many', 40]])('in a fleet of %s nodes', (_name, size) => {
-  test('all nodes learn where the shared parts went, and only these', async () => {
+  test('all nodes learn the locations of the shared parts, and only of these', async () => {
     const { clock, nodes, readKept } = createFleet(size)
     nodes[3]!.api.record(PARTS, SERVER)
     await clock.advanceAndSettle(TOLD_MS)
     expect(readKept()).toEqual(nodes.map((_, index) => index === 3 ? 1400 : 1200))
   })
 
-  test('a place in steady use stays known', async () => {
+  test('a location in steady use stays known', async () => {
     const { clock, nodes, readKept } = createFleet(size)
     for (let second = 0; second < 120; second++) {
       nodes[0]!.api.record(PARTS, SERVER)
@@ -44,15 +44,15 @@
     expect(Math.min(...readKept())).toBe(1200)
   })
 
-  test('a place that is not used any more is forgotten', async () => {
+  test('a location that is no longer used expires', async () => {
     const { clock, nodes, readKept } = createFleet(size)
     nodes[0]!.api.record(PARTS, SERVER)
     await clock.advanceAndSettle(61_000)
     expect(new Set(readKept())).toEqual(new Set([0]))
   })
 
-  // Told with each request, places would grow with the square of the nodes.
-  test('a place that all know is not told with each request', async () => {
+  // Announcements with each request would grow with the square of the number of nodes.
+  test('a location that all nodes know is not announced with each request', async () => {
     const { clock, nodes, countMessages } = createFleet(size)
     nodes[0]!.api.record(PARTS, SERVER)
     await clock.advanceAndSettle(TOLD_MS)
@@ -65,7 +65,7 @@
   })
 })
 
-test('in a large fleet the messages of one place are those to a forwarder a zone and from it to its zone', async () => {
+test('in a large fleet one location is sent to a forwarder in each zone and from there to the nodes of the zone', async () => {
   const { clock, nodes, countMessages } = createFleet(40, 4)
   nodes[39]!.api.record(PARTS, SERVER)
   await clock.advanceAndSettle(TOLD_MS)
