--- a/src/services/forwarding/_lib/checkKey.ts
+++ b/src/services/forwarding/_lib/checkKey.ts
@@ -1,21 +1,21 @@
-/** Whether the key of a request may be used at this moment: it was valid when the request came, but may have been taken away since. */
+/** Checks whether the key of a request is still valid when the request is sent: it may have been revoked since the request arrived. */
 import { findAccount } from './findAccount.js'
 import type { GatewayAccount, GatewayConfigurationHolder, GatewayRequest, GatewayRoute } from '../../../types/index.js'
 
 export type KeyVerdict =
   | 'good'
-  /** The configuration in force doesn't hold it any more. */
+  /** The configuration in force no longer contains it. */
   | 'takenAway'
-  /** That the configuration in force is the newest was proved too long ago. */
+  /** The configuration in force was confirmed to be the newest too long ago. */
   | 'unproved'
 
 export type KeyCheckDependencies = {
   readonly configuration: GatewayConfigurationHolder
-  /** Age of the proof up to which a key is used, in milliseconds. */
+  /** Age of the configuration's last confirmation up to which a key is accepted, in milliseconds. */
   readonly readKeyFreshnessMs: () => number
 }
 
-/** Judges the key of a request; one without an account needs no proof. */
+/** Checks the key of a request; a request without a client account passes. */
 export const checkKey = (
   { configuration, readKeyFreshnessMs }: KeyCheckDependencies,
   request: Pick<GatewayRequest, 'credential'>,
--- a/src/services/forwarding/_lib/chooseInstance.test.ts
+++ b/src/services/forwarding/_lib/chooseInstance.test.ts
@@ -24,7 +24,7 @@
 
 type Server = { readonly zone: string, readonly load: number, readonly isLeaving?: boolean, readonly isHeld?: boolean, readonly isWarming?: boolean }
 
-/** Chooses for a request whose shared part the server `keeper` has; zone `drained` is drained. */
+/** Chooses a server for a request whose shared prefix is cached by the server `keeper`; zone `drained` is drained. */
 const choose = (servers: Readonly<Record<string, Server>>, tried: readonly string[] = []) => {
   const instances = Object.entries(servers).map(([id, { zone, isLeaving }]) => createInstance(id, zone, isLeaving))
   const dependencies: ChoiceDependencies = {
@@ -55,25 +55,25 @@
 const OPEN: Readonly<Record<string, Server>> = { keeper: { zone: 'a', load: 14 }, b: { zone: 'a', load: 6 }, c: { zone: 'b', load: 6 }, d: { zone: 'b', load: 6 } }
 
 describe('chooseInstance', () => {
-  test('takes the server that keeps the prompt while it is under the bound', () =>
+  test('selects the server that caches the prompt while it is under the load bound', () =>
     expect(choose(OPEN)?.instance.id).toBe('keeper'))
 
-  // The bound was a multiple of the mean over the open servers: with a third of them drained it was half as high again as promised.
+  // The bound was a multiple of the mean over the eligible servers only: with a third of all servers drained it was half as high again as configured.
   test.each<[string, Server]>([
     ['in a drained zone', { zone: 'drained', load: 0 }],
-    ['that warm up', { zone: 'a', load: 0, isWarming: true }],
-    ['that are held', { zone: 'a', load: 0, isHeld: true }],
-    ['that leave', { zone: 'a', load: 0, isLeaving: true }]
+    ['that are warming up', { zone: 'a', load: 0, isWarming: true }],
+    ['that are suspended', { zone: 'a', load: 0, isHeld: true }],
+    ['that are leaving', { zone: 'a', load: 0, isLeaving: true }]
   ])('counts servers %s in the mean that bounds the load', (_what, closed) => {
     const chosen = choose({ ...OPEN, e: closed, f: closed })
     expect(chosen?.instance.id).not.toBe('keeper')
     expect(chosen?.belief).toMatchObject({ candidates: 4, underBound: 3 })
   })
 
-  test('counts servers that the request has tried', () =>
+  test('counts servers that the request was already sent to', () =>
     expect(choose({ ...OPEN, e: { zone: 'a', load: 0 }, f: { zone: 'a', load: 0 } }, ['e', 'f'])?.instance.id).not.toBe('keeper'))
 
-  test('takes the least loaded server where all open ones are over the bound', () => {
+  test('selects the least loaded server where all eligible ones are over the bound', () => {
     const drained: Server = { zone: 'drained', load: 0 }
     const servers = { keeper: { zone: 'a', load: 22 }, b: { zone: 'a', load: 20 }, c: drained, d: drained, e: drained, f: drained, g: drained }
     expect(choose(servers)).toMatchObject({ instance: { id: 'b' }, belief: { underBound: 0 } })
--- a/src/services/forwarding/_lib/chooseInstance.ts
+++ b/src/services/forwarding/_lib/chooseInstance.ts
@@ -1,4 +1,4 @@
-/** The backend server for the next send of a request: what the node knows, put to `placeRequest`. */
+/** Selects the backend server for the next attempt of a request: gathers the state of the node and calls `placeRequest`. */
 import { computeLoadBound, defaultPlacementWeights, placeRequest } from '../../../decisions/placeRequest/index.js'
 import type { InstanceCandidate, PlacementWeights, PromptKeeper } from '../../../decisions/placeRequest/index.js'
 import { judgeInstance } from '../../../decisions/judgeInstance/index.js'
@@ -10,7 +10,7 @@
 
 export type ChoiceDependencies = Pick<ForwardingDependencies, 'registry' | 'health' | 'directory' | 'loadView' | 'random' | 'zoneDrains' | 'warmUp'> & {
   readonly availabilityZone: string
-  /** Region of each availability zone, where requests are bound to regions. */
+  /** Region of each availability zone, for requests that are restricted to regions. */
   readonly regionByZone: ReadonlyMap<string, string>
   readonly readLoadFactor: () => number
 }
@@ -19,17 +19,17 @@
   readonly request: GatewayRequest
   readonly service: string
   readonly bodyBytes: number
-  /** Ids of backend servers that had the request already. */
+  /** Ids of backend servers to which the request was already sent. */
   readonly tried: ReadonlySet<string>
-  /** Lists of regions that bind the request, each for itself. */
+  /** Lists of allowed regions; the request must satisfy each of them. */
   readonly allowedRegions: readonly (readonly string[])[]
 }
 
-/** Bytes of an answer that is no stream, and of one token in a stream, headers included; averages of both kinds of service. */
+/** Average size in bytes of a non-streaming answer, and of one token in a stream, headers included. */
 const WHOLE_ANSWER_BYTES = 1_200
 const BYTES_PER_TOKEN = 30
 
-/** Part of the promised multiple that placement uses: counts of other nodes are a quarter of a second old. */
+/** Fraction of the configured load factor that placement uses, as a margin: load counts of other nodes are up to a quarter of a second old. */
 const BOUND_SHARE = 0.96
 
 const listUntried = ({ registry }: ChoiceDependencies, { service, tried }: Choice): readonly BackendInstance[] =>
@@ -41,32 +41,32 @@
   isAtWarmUpRate: warmUp.isAtRate(instance)
 }, allowedRegions)
 
-/** Why no server may get the request; `undefined` where there is none that it has not tried. */
+/** Why no backend server is eligible for the request; `undefined` where all of them were tried. */
 export const findBarrier = (dependencies: ChoiceDependencies, choice: Choice): InstanceVerdict | undefined =>
   selectVerdict(listUntried(dependencies, choice).map((instance) => judge(dependencies, choice, instance)))
 
-/** Held servers come back into question only when no other is left: an unlikely server beats a refusal. */
+/** Suspended servers are used only when no other is left: a server that probably fails is better than a refusal. */
 const listUsable = (dependencies: ChoiceDependencies, choice: Choice): readonly BackendInstance[] => {
   const open = listUntried(dependencies, choice).filter((instance) => judge(dependencies, choice, instance) === 'open')
   const usable = open.filter((instance) => !dependencies.health.isHeld(instance))
   return usable.length > 0 ? usable : open
 }
 
-/** What the node believed of the load when it chose, in requests in flight. */
+/** Load estimate at the time of the choice, in requests in flight. */
 export type LoadBelief = {
-  /** On the chosen server, before this request. */
+  /** Load of the chosen server, without this request. */
   readonly load: number
-  /** A server, over all of the service. */
+  /** Mean load over all servers of the service. */
   readonly meanLoad: number
   readonly bound: number
-  /** Servers that could get the request, and those of them under the bound. */
+  /** Number of eligible servers, and of those under the bound. */
   readonly candidates: number
   readonly underBound: number
 }
 
 export type ChosenInstance = {
   readonly instance: BackendInstance
-  /** Another one that keeps more of the prompt; leaving ones are asked too, while they last. */
+  /** Another server that has a longer cached prefix of the prompt; it may be leaving, as long as it still serves. */
   readonly copyPromptFrom: BackendInstance | undefined
   readonly belief: LoadBelief
 }
@@ -83,8 +83,8 @@
 }
 
 /**
- * The mean over every server of the service, leaving ones and those that may not get the request too: the
- * promise is a multiple of that mean, and the fewer servers are open the less each of them may be over it.
+ * Mean load over every server of the service, including leaving servers and those that are not eligible: the
+ * load bound is defined as a multiple of that mean. The fewer servers are eligible, the less headroom each has.
  */
 const computeMeanLoad = ({ registry, loadView }: ChoiceDependencies, service: string): number => {
   const loads = registry.all().filter((instance) => instance.service === service).map((instance) => loadView.estimateInFlight(formatInstanceKey(instance)))
@@ -92,9 +92,9 @@
 }
 
 /**
- * What each server of the service keeps of a prompt: leaving and just removed
- * ones too, and those of a drained zone. They serve on for a while, and what is copied
- * from them in that time need not be read again. None in a region where the request
+ * Lists the servers of the service that cache a prefix of the prompt, including leaving and
+ * recently removed servers and those of a drained zone: they still serve for a while, and a
+ * prefix copied from them need not be computed again. Excludes regions where the request
  * may not be served.
  */
 const listKeepers = (dependencies: ChoiceDependencies, choice: Choice, kept: ReadonlyMap<string, number>): readonly PromptKeeper[] => {
@@ -106,12 +106,12 @@
     .map((instance) => ({ id: instance.id, availabilityZone: instance.availabilityZone, keptTokens: kept.get(formatInstanceKey(instance)) ?? 0 }))
 }
 
-/** Returns the chosen one, or `undefined` when the service has none that was not tried. */
+/** Returns the selected server, or `undefined` when the service has no eligible one that was not tried. */
 export const chooseInstance = (dependencies: ChoiceDependencies, choice: Choice): ChosenInstance | undefined => {
   const { request, bodyBytes } = choice
   const { directory, loadView, health, random, registry } = dependencies
   const usable = listUsable(dependencies, choice)
-  // The last part belongs to the request alone.
+  // The last part is unique to the request and can't be cached.
   const shared = request.promptParts.slice(0, -1)
   const kept = directory.listKept(shared)
   const handicapOf = health.compareWith(usable)
--- a/src/services/forwarding/_lib/createAnswerIntake.test.ts
+++ b/src/services/forwarding/_lib/createAnswerIntake.test.ts
@@ -59,7 +59,7 @@
 }
 
 describe('createAnswerIntake', () => {
-  test('gives the caller a stream\'s head with its first whole event', () => {
+  test('sends a stream\'s head with its first complete event', () => {
     const { seen, take } = createIntake(createAnswer())
     take('id: 1\n')
     expect(seen).toEqual([])
@@ -67,8 +67,8 @@
     expect(seen).toEqual(['head', 'id: 1\ndata: a'])
   })
 
-  // A caller that has the head of a stream can only be cut off when its server dies before the first event.
-  test('leaves the caller without a head when the stream breaks before its first event', () => {
+  // Once the head of a stream is sent, a server that dies before the first event leaves no choice but to break off.
+  test('sends no head when the stream breaks before its first event', () => {
     const { caller, seen, take, end } = createIntake(createAnswer())
     take('id: 1\ndata: half')
     end()
@@ -76,13 +76,13 @@
     expect(caller.hasBegun()).toBe(false)
   })
 
-  test('passes a stream without events on as it is', () => {
+  test('passes on a stream without events', () => {
     const { seen, end } = createIntake(createAnswer())
     end()
     expect(seen).toEqual(['head', 'end'])
   })
 
-  test('holds an answer that is no stream until it is whole', () => {
+  test('buffers a non-streaming answer until it is complete', () => {
     const { seen, take, end } = createIntake(createAnswer({ isEventStream: false, contentLength: 4 }))
     take('ab')
     take('cd')
@@ -91,7 +91,7 @@
     expect(seen).toEqual(['whole 4'])
   })
 
-  test('tells of a failure that the server states in an event stream\'s place', () => {
+  test('reports a failure that the server states instead of an event stream', () => {
     const { seen, end } = createIntake(createAnswer({ status: 500 }))
     end()
     expect(seen).toEqual(['stated failure'])
--- a/src/services/forwarding/_lib/createAnswerIntake.ts
+++ b/src/services/forwarding/_lib/createAnswerIntake.ts
@@ -1,9 +1,9 @@
 /**
- * The answer of one backend server on its way to the caller: the head is
- * checked, events go on as they become whole, and any other answer is held until
- * it is whole, so that a truncated one is found before its head is sent. The head of a
- * stream goes with its first event: a server that breaks off before has given the caller
- * nothing, and the request can still get another server's answer or an honest failure.
+ * Passes the answer of one backend server on to the caller. The head is checked; complete
+ * events are passed on at once, and any other answer is buffered until it is complete, so
+ * that a truncated one is detected before its head is sent. The head of a stream is sent
+ * with its first event: until then the caller has received nothing, so the request can
+ * still get another server's answer or a failure status.
  */
 import type { CallerAnswer } from './createCallerAnswer.js'
 import { createEventReader } from './createEventReader.js'
@@ -13,15 +13,15 @@
 export type AnswerListener = {
   /** The head belongs to the request. */
   readonly onHead: (answer: InstanceAnswer) => void
-  /** The server states that it did not run the request. */
+  /** The backend server states that it did not run the request. */
   readonly onNotRun: (answer: InstanceAnswer) => void
-  /** Not the answer to this request, or not whole, or not to be joined to what the caller has. */
+  /** The answer belongs to another request, is incomplete, or does not continue what the caller has. */
   readonly onBroken: (message: string) => void
-  /** The server states, in a whole answer, that it failed. */
+  /** The backend server reports a failure in a complete answer. */
   readonly onStatedFailure: (answer: InstanceAnswer, body: Uint8Array) => void
-  /** The caller is to have this whole answer; nothing of it was passed on. */
+  /** The answer is complete and nothing of it was passed on yet. */
   readonly onWhole: (answer: InstanceAnswer, body: Uint8Array) => void
-  /** The last bytes were passed on. */
+  /** The last bytes of the answer were passed on. */
   readonly onPassed: () => void
 }
 
@@ -31,12 +31,12 @@
   readonly takeEnd: () => void
 }
 
-/** An answer that is no event stream is held up to so many bytes; longer ones go on as they come. */
+/** An answer that is no event stream is buffered up to this size; longer ones are passed on as they arrive. */
 const HELD_BYTES = 1024 * 1024
 
 const isStream = (answer: InstanceAnswer): boolean => answer.isEventStream && answer.status === 200
 
-/** Creates the intake of one send. Once `onNotRun`, `onBroken` or an end was told, nothing more may be taken. */
+/** Creates the intake of one attempt. After `onNotRun`, `onBroken` or a callback for the end it must not be called again. */
 export const createAnswerIntake = (request: GatewayRequest, caller: CallerAnswer, listener: AnswerListener): AnswerIntake => {
   const reader = createEventReader()
   let answer: InstanceAnswer | undefined
--- a/src/services/forwarding/_lib/createCallerAnswer.ts
+++ b/src/services/forwarding/_lib/createCallerAnswer.ts
@@ -1,26 +1,26 @@
 /**
- * What the caller gets: one answer, which may come from more than one backend
- * server when a stream goes on elsewhere. It has the head of the first.
+ * Writes the answer to the caller. When a stream is resumed on another backend server,
+ * the answer has the head from the first server and the events from all of them.
  */
 import { createEventRelay } from './createEventRelay.js'
 import type { EventRelay } from './createEventRelay.js'
 import type { CallerSink, Exchange, GatewayRefusal, InstanceAnswer } from '../../../types/index.js'
 
 export type CallerAnswer = {
-  /** Whether the caller has a head; from then on the answer can only go on, or break. */
+  /** Whether the head was sent to the caller; from then on the answer can only continue or be broken off. */
   readonly hasBegun: () => boolean
   readonly relay: EventRelay
   readonly begin: (answer: InstanceAnswer) => void
-  /** Passes bytes on; the exchange pauses while the caller reads slower than they come. */
+  /** Passes bytes on; the exchange pauses while the caller reads slower than bytes arrive. */
   readonly pass: (bytes: Uint8Array, exchange: Exchange | undefined) => void
   readonly end: () => void
   readonly whole: (answer: InstanceAnswer, body: Uint8Array) => void
   readonly refuse: (refusal: GatewayRefusal) => void
-  /** Ends the caller's connection so that the answer does not look complete. */
+  /** Aborts the caller's connection so that the answer does not look complete. */
   readonly breakOff: () => void
 }
 
-/** Creates the answer of a caller that has a stream's events up to `lastEventId`. */
+/** Creates the answer for a caller that already has the events up to `lastEventId`. */
 export const createCallerAnswer = (sink: CallerSink, lastEventId: number | undefined): CallerAnswer => {
   let hasBegun = false
   return {
--- a/src/services/forwarding/_lib/createEnding.ts
+++ b/src/services/forwarding/_lib/createEnding.ts
@@ -1,13 +1,13 @@
 /**
- * The end of a run: exactly one final answer to its caller, and what is said of
- * it. "Not run" is said only while no server may have run the request.
+ * Ends a request: gives the caller exactly one final answer and records the outcome.
+ * A refusal states "not run" only while no backend server may have run the request.
  */
 import type { CallerAnswer } from './createCallerAnswer.js'
 import type { RunOutcome, RunRecord } from './createRunRecord.js'
 import { computeReturnDelay } from '../../../decisions/computeReturnDelay/index.js'
 import type { FinalReason, GatewayRefusal, InstanceAnswer, LogFields, RandomSource } from '../../../types/index.js'
 
-/** A failure that a server stated itself. */
+/** A failure that a backend server reported in a complete answer of its own. */
 export type StatedFailure = { readonly answer: InstanceAnswer, readonly body: Uint8Array }
 
 export type EndingDependencies = {
@@ -15,24 +15,24 @@
   readonly record: Pick<RunRecord, 'finish'>
   readonly random: Pick<RandomSource, 'next'>
   readonly readProgress: () => { readonly mayHaveRun: boolean, readonly sends: number }
-  /** Ends the exchange that is under way. */
+  /** Aborts the current attempt. */
   readonly dropSending: () => void
   readonly onDone: () => void
 }
 
 export type Ending = {
-  /** Notes the outcome; the caller has its answer, or is gone. */
+  /** Records the outcome; the caller has its answer or has disconnected. */
   readonly finish: (outcome: RunOutcome, fields?: LogFields) => void
   readonly refuse: (refusal: GatewayRefusal, evidence?: LogFields) => void
-  /** Refuses with "not run" while that is true, and with the given status otherwise. */
+  /** Refuses with "not run" while that is certain; otherwise passes on the reported failure, or refuses with the given status. */
   readonly giveUp: (reason: FinalReason, statusIfUnknown: 502 | 504, evidence?: LogFields) => void
-  /** Keeps the last failure that a server stated, for when nothing better comes. */
+  /** Keeps the last failure that a backend server reported, as the final answer if no retry succeeds. */
   readonly noteStatedFailure: (failure: StatedFailure) => void
-  /** Passes the stated failure on. */
+  /** Passes the reported failure on to the caller. */
   readonly finishStated: () => void
 }
 
-/** Creates the end of one run. */
+/** Creates the end of one request. */
 export const createEnding = ({ caller, record, random, readProgress, dropSending, onDone }: EndingDependencies): Ending => {
   let isDone = false
   let stated: StatedFailure | undefined
--- a/src/services/forwarding/_lib/createEventReader.ts
+++ b/src/services/forwarding/_lib/createEventReader.ts
@@ -1,15 +1,14 @@
 /**
- * Splits an event stream into whole events without changing a byte. What came
- * of an event that was cut off is never passed on, so that a stream which goes
- * on elsewhere joins at an event's edge.
+ * Splits an event stream into complete events without changing a byte. A truncated event
+ * is never passed on, so that a stream can be resumed elsewhere at an event boundary.
  */
 
 export type StreamEvent = { readonly bytes: Uint8Array, readonly id: number | undefined }
 
 export type EventReader = {
-  /** Returns the events that are whole with these bytes. */
+  /** Returns the events that these bytes complete. */
   readonly push: (bytes: Uint8Array) => readonly StreamEvent[]
-  /** Bytes of an event that is not whole yet. */
+  /** Number of buffered bytes of an incomplete event. */
   readonly pendingBytes: () => number
 }
 
@@ -17,7 +16,7 @@
 const CARRIAGE_RETURN = 13
 const ID_LINE = /^id: ?(\d+)\r?$/m
 
-/** Index after the blank line that ends an event, or -1. */
+/** Returns the index after the blank line that ends an event, or -1. */
 const findEventEnd = (buffer: Buffer, from: number): number => {
   let at = buffer.indexOf(LINE_FEED, from)
   while (at >= 0) {
--- a/src/services/forwarding/_lib/createEventRelay.ts
+++ b/src/services/forwarding/_lib/createEventRelay.ts
@@ -1,14 +1,14 @@
 /**
- * The events of one caller's stream, from however many backend servers: each
- * event once and in order. A server that is asked to go on may begin with events
- * that the caller has, and one that skips some can't be joined.
+ * Passes the events of one stream on to the caller, each once and in order, also when the
+ * stream is resumed on another backend server. A server that resumes it may repeat events
+ * that the caller has, which are dropped; events that are missing are reported as a gap.
  */
 import type { StreamEvent } from './createEventReader.js'
 
 export type RelayedEvents = {
-  /** What the caller lacks and is to get now, also when a gap follows: it counts as delivered. */
+  /** Events to send to the caller now, also when a gap follows; they count as delivered. */
   readonly bytes: Uint8Array | undefined
-  /** Which events are missing behind these bytes. */
+  /** Describes the events that are missing after these bytes. */
   readonly gap: string | undefined
 }
 
--- a/src/services/forwarding/_lib/createRepeatBudgets.ts
+++ b/src/services/forwarding/_lib/createRepeatBudgets.ts
@@ -1,4 +1,4 @@
-/** This node's share of the fleet's retry budget, a budget a service. */
+/** Limits retries to this node's share of the fleet's retry budget, for each service separately. */
 import { grantRepeat } from '../../../decisions/grantRepeat/index.js'
 import { noteSend } from '../../../decisions/noteSend/index.js'
 import type { RepeatBudget, RepeatBudgetLimits } from '../../../decisions/grantRepeat/index.js'
@@ -6,14 +6,14 @@
 
 export type RepeatBudgets = {
   readonly noteFirst: (service: string) => void
-  /** Spends one repeat where the budget has it. */
+  /** Takes one retry from the budget; returns false when the budget is used up. */
   readonly spend: (service: string) => boolean
   readonly canSpend: (service: string) => boolean
 }
 
 const EMPTY: RepeatBudget = { requests: [], repeats: [] }
 
-/** Creates the budgets; `countNodes` counts every node that may be spending. */
+/** Creates the budgets; `countNodes` returns the number of nodes that share them. */
 export const createRepeatBudgets = (readLimits: () => RepeatBudgetLimits, countNodes: () => number, clock: Clock): RepeatBudgets => {
   const budgets = new Map<string, RepeatBudget>()
   const read = (service: string): RepeatBudget => budgets.get(service) ?? EMPTY
--- a/src/services/forwarding/_lib/createRun.ts
+++ b/src/services/forwarding/_lib/createRun.ts
@@ -1,8 +1,7 @@
 /**
- * The way of one request: wait for its body, send it to a backend server,
- * check what comes back, repeat where that is harmless, and give the caller
- * exactly one final answer. What is known of the request decides what may be
- * said of it: "not run" only while no server may have run it.
+ * Handles one request: waits for its body, sends it to a backend server, checks the
+ * answer, retries where that is safe, and gives the caller exactly one final answer.
+ * A refusal states "not run" only while no backend server may have run the request.
  */
 import { checkKey } from './checkKey.js'
 import { chooseInstance, findBarrier, type Choice, type ChosenInstance } from './chooseInstance.js'
@@ -21,14 +20,14 @@
 } from '../../../types/index.js'
 import type { Run, RunContext } from './run.js'
 
-/** How long a request with a key waits for proof that its key still holds, in milliseconds. */
+/** How long a request with a key waits for the configuration to be confirmed, in milliseconds. */
 const KEY_CONFIRM_WAIT_MS = 400
-/** Refusals by servers after which the request is refused, whatever the budget: the service is full. */
+/** Refusals by backend servers after which the request itself is refused, whatever the retry budget: the service is full. */
 const REFUSALS_AT_MOST = 3
-/** A new connection reaches another node at once. */
+/** The delay is short because a new connection reaches another node. */
 const STOPPING: GatewayRefusal = { status: 503, reason: 'shuttingDown', retryAfterMs: 20 }
 
-/** Creates the run; it does nothing before `assign` and `submit`. */
+/** Creates the handler of one request; it sends nothing before `assign` and `submit`. */
 export const createRun = (context: RunContext, request: GatewayRequest, sink: CallerSink): Run => {
   const { clock, random, metrics, registry, health, loadView } = context
   const tried = new Set<string>()
@@ -50,7 +49,7 @@
   const deadlineAt = (): number =>
     request.receivedAt + Math.min(request.callerTimeoutMs ?? Infinity, route?.timeoutMs ?? Infinity)
 
-  /** The longest that it may still take. A plain request that no server had yet is to have its whole time. */
+  /** The longest time that the request may still take, in milliseconds. A non-streaming request that no server received yet counts with its full time-out. */
   const longestMs = (to: GatewayRoute): number =>
     mayHaveRun || to.repeatPolicy === 'stream' ? deadlineAt() - clock.now() : to.timeoutMs
 
@@ -95,7 +94,7 @@
 
   const findInstance = (): ChosenInstance | undefined => route === undefined ? undefined : chooseInstance(context, readChoice())
 
-  /** No server may get it: nothing is gained by waiting, and the reason says when that may change. */
+  /** No backend server is eligible: waiting would not help, and the reason sets the Retry-After. */
   const giveUpUnplaced = (): void => {
     const barrier = findBarrier(context, readChoice())
     if (barrier === undefined || barrier === 'open') return giveUp('noInstance', 502)
@@ -118,14 +117,14 @@
 
   const send = (): void => {
     if (isDone || route === undefined || body === undefined || isWaitingForKey) return
-    // Asked again before every send: the request may have waited.
+    // Checked before every send: the request may have waited since the last check.
     const verdict = checkKey(context, request, route, account)
     if (verdict === 'unproved') {
       confirmKey(route)
       return
     }
     if (verdict === 'takenAway') return mayHaveRun ? giveUp('unknownKey', 502) : refuse({ status: 401, reason: 'unknownKey' })
-    // Before every send, the repeats too: the request may have waited, and the node may stop since.
+    // Checked before every send, retries included: the shutdown may have begun while the request waited.
     if (!context.stopGate.passes(route, request, longestMs(route))) return mayHaveRun ? giveUp('shuttingDown', 502) : refuse(STOPPING)
     const remainingMs = deadlineAt() - clock.now()
     if (remainingMs <= 1) return giveUp('deadlineBeforeSend', 504)
@@ -192,7 +191,7 @@
     intake.takeHead(answer)
   }
 
-  /** The server states that it did not run the request: as if it had not been sent. */
+  /** The backend server states that it did not run the request, so the send does not count. */
   const takeNotRun = (current: Sending, answer: InstanceAnswer): void => {
     dropSending()
     sends -= 1
@@ -204,7 +203,7 @@
     repeatOr(() => giveUp('instancesRefused', 502))
   }
 
-  /** The answer is through; what remains is to tell the caller. */
+  /** The answer of the backend server is complete; `tell` ends the caller's answer. */
   const endWell = (current: Sending, tell: () => void, fields: LogFields = {}): void => {
     endSending(current)
     sending = undefined
@@ -278,7 +277,7 @@
       account = holder
       service = selectTarget(to.targets, random.next()).service
       if (!context.stopGate.passes(to, request, longestMs(to))) return refuse(STOPPING)
-      // The body may have come while the request waited for its route.
+      // The body may have arrived while the request waited for its route.
       send()
     },
     submit: (content) => {
--- a/src/services/forwarding/_lib/createRunRecord.ts
+++ b/src/services/forwarding/_lib/createRunRecord.ts
@@ -1,4 +1,4 @@
-/** What operators see of one request: its log lines, its outcome, and how long it took. */
+/** Writes the log lines and metrics of one request: attempts, outcome and durations. */
 import type { ForwardingDependencies } from '../index.js'
 import type { GatewayRequest, GatewayRoute, LogFields } from '../../../types/index.js'
 import type { GatewayEvent } from '../../../types/gatewayEvents.js'
@@ -7,23 +7,23 @@
 
 export type SendOutcome = 'complete' | 'refused' | 'errored' | 'broken' | 'notSent' | 'silent'
 
-/** What a request waits for before the first bytes of its answer, in this order. */
+/** Steps of a request up to the head of its answer, in this order. */
 export type RunStep = 'body' | 'sent' | 'connected' | 'head'
 
 export type RunRecord = {
-  /** Notes that a step was reached; only the first time counts. */
+  /** Records that a step was reached; only the first time counts. */
   readonly reach: (step: RunStep) => void
   readonly log: (event: GatewayEvent, fields: LogFields) => void
   readonly countSend: (outcome: SendOutcome) => void
   readonly countRepeat: (isGranted: boolean) => void
-  /** Notes the time from the send to the answer's head, in milliseconds. */
+  /** Records the time from the send to the answer's head, in milliseconds. */
   readonly noteFirstBytes: (milliseconds: number) => void
   readonly finish: (outcome: RunOutcome, fields: LogFields) => void
 }
 
 const MILLISECONDS_PER_SECOND = 1_000
 
-/** Creates the record; `readRoute` gives the request's route once it is known. */
+/** Creates the record of one request; `readRoute` returns its route once that is selected. */
 export const createRunRecord = (
   { clock, logger, metrics }: Pick<ForwardingDependencies, 'clock' | 'logger' | 'metrics'>,
   request: Pick<GatewayRequest, 'requestId' | 'receivedAt'>,
@@ -35,7 +35,7 @@
 
   const log: RunRecord['log'] = (event, fields) => logger.info(event, { requestId: request.requestId, route: readRoute()?.name, ...fields })
 
-  /** Milliseconds from the request's arrival to each step that it reached. */
+  /** Returns the milliseconds from the request's arrival to each step that it reached. */
   const listSteps = (): LogFields =>
     Object.fromEntries(Object.entries(reached).map(([step, at]) => [`${step}Ms`, Math.round(at - request.receivedAt)]))
 
--- a/src/services/forwarding/_lib/createSendingNotes.ts
+++ b/src/services/forwarding/_lib/createSendingNotes.ts
@@ -1,4 +1,4 @@
-/** What a send of a request tells of its backend server: that it is heard, how fast it is, that it is silent. */
+/** Reports what the attempts of one request show of backend servers: that one responds, how fast it is, that it does not respond. */
 import { formatInstanceKey } from '../../../decisions/formatInstanceKey/index.js'
 import type { GatewayRequest, GatewayRoute, InstanceAnswer } from '../../../types/index.js'
 import type { Sending } from './createSending.js'
@@ -6,18 +6,18 @@
 import type { RunContext } from './run.js'
 
 export type SendingNotes = {
-  /** The first send of the request. */
+  /** The first attempt of the request starts. */
   readonly begun: () => void
   readonly head: (current: Sending, answer: InstanceAnswer) => void
-  /** Bytes of the answer's body. */
+  /** Bytes of the answer's body arrived. */
   readonly body: (current: Sending) => void
   readonly success: (current: Sending, answer: InstanceAnswer) => void
-  /** The last bytes of a stream that came from one backend server alone. */
+  /** A stream from a single backend server has ended. */
   readonly wholeStream: (current: Sending) => void
   readonly silence: (current: Sending) => void
-  /** The caller has the whole answer. */
+  /** The caller has the complete answer. */
   readonly complete: () => void
-  /** The request has its final answer, whatever it is. */
+  /** The request has its final answer, successful or not. */
   readonly over: () => void
 }
 
@@ -27,7 +27,7 @@
   readonly readService: () => string
 }
 
-/** Creates the notes of one request. */
+/** Creates the reporter of one request. */
 export const createSendingNotes = (context: RunContext, { request, readRoute, readService }: SendingNotesOptions): SendingNotes => {
   const { clock, health, loadView, tokenPace, usualTimes } = context
 
@@ -60,7 +60,7 @@
       if (readRoute()?.repeatPolicy !== 'stream' || current.firstBytesAt === undefined) return
       tokenPace.note(readService(), request.tokens.output, clock.now() - current.firstBytesAt)
     },
-    /** A request that has to wait on still tells of a server that is silent to all. */
+    /** A request that can't be moved still reports a server that sends nothing on any exchange of this node. */
     silence: (current) => {
       if (current.isSilenceNoted || health.silentMs(current.instance) < clock.now() - current.lastBytesAt) return
       current.isSilenceNoted = true
--- a/src/services/forwarding/_lib/createStopGate.ts
+++ b/src/services/forwarding/_lib/createStopGate.ts
@@ -1,4 +1,4 @@
-/** What a node that stops still takes, and what it may send once more. */
+/** Decides whether a node that is shutting down accepts a request or retries it. */
 import type { StreamDurations } from './createStreamDurations.js'
 import type { TokenPace } from './createTokenPace.js'
 import { estimateDuration, USUAL_TOKEN_MS } from '../../../decisions/estimateDuration/index.js'
@@ -12,17 +12,17 @@
 }
 
 export type StopGate = {
-  /** From now on nothing passes that would not end before `endsAt`, in monotonic milliseconds. */
+  /** Begins the shutdown: from now on only requests pass that are expected to end before `endsAt`, in monotonic milliseconds. */
   readonly begin: (endsAt: number) => void
-  /** Whether a request may be sent that takes `longestMs` at most. Always while the node does not stop. */
+  /** Whether a request may be sent that takes at most `longestMs` milliseconds; always true before the shutdown begins. */
   readonly passes: (route: GatewayRoute, request: GatewayRequest, longestMs: number) => boolean
 }
 
-/** Creates the gate, open. */
+/** Creates the gate; it passes everything until `begin`. */
 export const createStopGate = ({ clock, tokenPace, streamDurations }: StopGateDependencies): StopGate => {
   let stop: { readonly beganAt: number, readonly endsAt: number } | undefined
 
-  /** Of the slowest of the services to which the route may send. */
+  /** Milliseconds a token of the slowest service to which the route may send. */
   const readTokenMs = (route: GatewayRoute): number =>
     Math.max(...route.targets.map(({ service }) => tokenPace.read(service) ?? USUAL_TOKEN_MS))
 
--- a/src/services/forwarding/_lib/createStreamDurations.test.ts
+++ b/src/services/forwarding/_lib/createStreamDurations.test.ts
@@ -3,7 +3,7 @@
 
 const ROUTE = 'replies'
 
-/** Streams begun a second apart, each over after its duration; `undefined` runs on. */
+/** Records streams that begin a second apart and take the given durations; `undefined` still runs. */
 const createDurations = (durations: readonly (number | undefined)[]) => {
   const record = createStreamDurations()
   durations.forEach((duration, index) => {
@@ -17,40 +17,40 @@
 const repeat = <Value>(count: number, value: Value): readonly Value[] => Array.from({ length: count }, () => value)
 
 describe('createStreamDurations', () => {
-  test('knows nothing of a route with few streams', () => {
+  test('returns undefined for a route with few streams', () => {
     const { record, now } = createDurations(repeat(10, 500))
     expect(record.shareOver(ROUTE, 1_000, now)).toBeUndefined()
     expect(record.shareOver('others', 1_000, now)).toBeUndefined()
   })
 
-  test('gives the share of streams that took longer', () => {
+  test('returns the share of streams that took longer', () => {
     const { record, now } = createDurations([...repeat(30, 500), ...repeat(10, 4_000)])
     expect(record.shareOver(ROUTE, 1_000, now)).toBe(0.25)
     expect(record.shareOver(ROUTE, 5_000, now)).toBe(0)
   })
 
-  // Early in the life of a node only short streams have ended, and a long one was taken for another of these.
+  // Soon after a node's start only short streams have ended, so a long one was expected to be as short.
   test('counts streams that still run', () => {
     const { record, now } = createDurations([...repeat(20, 500), ...repeat(20, undefined)])
     expect(record.shareOver(ROUTE, 2_000, now)).toBeCloseTo(19 / 39)
   })
 
-  // A node that was stopped some seconds after its start knew no stream begun long enough ago, and refused nearly all.
-  test('goes by a shorter time on a young node, and says rather too much', () => {
+  // A node that was shut down some seconds after its start had no stream that began long enough ago, and refused nearly all requests.
+  test('uses a shorter time on a recently started node, and errs on the high side', () => {
     const ended = createDurations(repeat(30, 500))
     expect(ended.record.shareOver(ROUTE, 25_000, ended.now)).toBe(0)
     const running = createDurations([...repeat(15, 500), ...repeat(15, undefined)])
     expect(running.record.shareOver(ROUTE, 25_000, running.now)).toBe(5 / 20)
   })
 
-  test('leaves out what failed', () => {
+  test('ignores failed streams', () => {
     const { record, now } = createDurations(repeat(30, 500))
     const failed = record.begin(ROUTE, now - 20_000)
     failed.forget()
     expect(record.shareOver(ROUTE, 1_000, now)).toBe(0)
   })
 
-  test('forgets streams of a minute ago, and the oldest of very many', () => {
+  test('drops streams older than a minute, and the oldest beyond the maximum number', () => {
     const { record } = createDurations(repeat(30, 500))
     expect(record.shareOver(ROUTE, 1_000, 100_000)).toBeUndefined()
     const many = createDurations([...repeat(10, 5_000), ...repeat(50, 500)])
--- a/src/services/forwarding/_lib/createStreamDurations.ts
+++ b/src/services/forwarding/_lib/createStreamDurations.ts
@@ -1,36 +1,36 @@
 /**
- * How long the latest streams of each route took, those included that still
- * run: without them the few that ended soon would speak for all.
+ * Tracks how long the latest streams of each route took, including those that still run:
+ * counting only ended streams would bias the result towards short ones.
  */
 
 export type StreamDurations = {
-  /** Notes the begin of a stream, in monotonic milliseconds. */
+  /** Records the start of a stream, in monotonic milliseconds. */
   readonly begin: (route: string, at: number) => StreamDuration
   /**
-   * Share of the streams that took longer, of those begun at least as long ago. Where these are too few, a
-   * shorter time takes the place of `milliseconds`: more streams pass it, so that the share is rather too
-   * high. `undefined` while too few streams are known at all.
+   * Returns the share of streams that took longer than `milliseconds`, among those that began at least that
+   * long ago. Where these are too few, a shorter time is used instead, which gives a higher share: the
+   * estimate errs on the high side. `undefined` while too few streams are known.
    */
   readonly shareOver: (route: string, milliseconds: number, now: number) => number | undefined
 }
 
 export type StreamDuration = {
-  /** It ended well, at this time. */
+  /** The stream ended successfully, at this time in monotonic milliseconds. */
   readonly end: (at: number) => void
-  /** It failed or its caller left, so that it says nothing of how long streams take. */
+  /** The stream failed or its caller disconnected, so its duration does not count. */
   readonly forget: () => void
 }
 
 type Entry = { readonly beganAt: number, endedAt: number | undefined }
 
-/** So many streams of a route are kept at most. */
+/** Streams kept for each route. */
 const MAXIMUM_ENTRIES = 256
-/** Older streams say little of the load now, in milliseconds. */
+/** Older streams no longer reflect the current load; in milliseconds. */
 const MAXIMUM_AGE_MS = 60_000
-/** A share of fewer streams is chance. */
+/** A share of fewer streams is not significant. */
 const LEAST_ENTRIES = 20
 
-/** Creates the record, empty. */
+/** Creates an empty record. */
 export const createStreamDurations = (): StreamDurations => {
   const byRoute = new Map<string, Set<Entry>>()
 
--- a/src/services/forwarding/_lib/createTimeToFirstBytes.ts
+++ b/src/services/forwarding/_lib/createTimeToFirstBytes.ts
@@ -1,17 +1,18 @@
-/** How long requests of a route usually take to their first bytes, against which a backend server's time is slow or not. */
+/** Tracks the average time to first byte of each route, against which a backend server counts as slow. */
 
 export type TimeToFirstBytes = {
-  /** Notes a time and returns it as a multiple of the usual one. */
+  /** Records a time in milliseconds and returns it as a multiple of the route's average. */
   readonly compare: (route: string, milliseconds: number) => number
+  /** Average of the route in milliseconds; `undefined` before the first request. */
   readonly usual: (route: string) => number | undefined
 }
 
-/** Weight of the newest time: some thirty requests make the average. */
+/** Weight of the newest time: the average spans about thirty requests. */
 const NEWEST_WEIGHT = 0.03
-/** Times below this differ by the network's jitter alone, in milliseconds. */
+/** Below this, differences are network jitter; in milliseconds. */
 const FLOOR_MS = 20
 
-/** Creates the record, empty. */
+/** Creates an empty record. */
 export const createTimeToFirstBytes = (): TimeToFirstBytes => {
   const averages = new Map<string, number>()
   return {
--- a/src/services/forwarding/_lib/createTokenPace.test.ts
+++ b/src/services/forwarding/_lib/createTokenPace.test.ts
@@ -13,12 +13,12 @@
 }
 
 describe('createTokenPace', () => {
-  test('knows nothing before a stream was seen, and of other services', () => {
+  test('returns undefined before the first stream, and for other services', () => {
     expect(createTokenPace().read('engines')).toBeUndefined()
     expect(createPaceOf(4).read('others')).toBeUndefined()
   })
 
-  test('takes a slow stream at once and forgets it slowly', () => {
+  test('adopts a slow stream at once and decays slowly', () => {
     const pace = createPaceOf(4)
     pace.note('engines', 400, 400 * 9)
     expect(pace.read('engines')).toBe(9)
@@ -28,18 +28,18 @@
     expect(pace.read('engines')).toBeLessThan(4.2)
   })
 
-  test('leaves out streams too short to show a pace', () => {
+  test('ignores streams that are too short for an estimate', () => {
     const pace = createPaceOf(4)
     pace.note('engines', 20, 400)
     expect(pace.read('engines')).toBeCloseTo(4)
   })
 
-  // A node that takes its engines for slower than they are would refuse streams that end within the grace.
+  // A node that overestimates the time a token would refuse streams that end within the grace period.
   test.each([
-    ['taken from engines three times faster', 3.5 / 3, true],
-    ['taken from engines that are fast enough', 3.5, true],
-    ['refused to engines three times slower', 3.5 * 3, false]
-  ])('a long stream at the begin of a stop is %s', (_what, tokenMs, isTaken) => {
+    ['accepted on engines three times faster', 3.5 / 3, true],
+    ['accepted on engines that are fast enough', 3.5, true],
+    ['refused on engines three times slower', 3.5 * 3, false]
+  ])('a long stream at the start of a shutdown is %s', (_what, tokenMs, isTaken) => {
     const estimate = estimateDuration({ route: ROUTE, outputTokens: TOKENS, tokenMs: createPaceOf(tokenMs).read('engines') ?? USUAL_TOKEN_MS })
     expect(estimate <= GRACE_MS).toBe(isTaken)
   })
--- a/src/services/forwarding/_lib/createTokenPace.ts
+++ b/src/services/forwarding/_lib/createTokenPace.ts
@@ -1,18 +1,18 @@
-/** How fast the streams of each service lately went, for a node that has to know how long a stream will last. */
+/** Tracks the recent time a token of each service's streams, to estimate how long a new stream will take. */
 
 export type TokenPace = {
-  /** Notes a stream that ended well: its most tokens, and the time from its first bytes to its end. */
+  /** Records a successful stream: its maximum number of tokens, and the milliseconds from its first bytes to its end. */
   readonly note: (service: string, tokens: number, milliseconds: number) => void
-  /** Milliseconds a token, rather too many than too few; `undefined` before a stream was seen. */
+  /** Milliseconds a token, estimated on the high side; `undefined` before the first stream. */
   readonly read: (service: string) => number | undefined
 }
 
-/** Shorter streams say more of single pauses than of the pace. */
+/** Streams with fewer tokens are ignored: single pauses dominate their duration. */
 const LEAST_TOKENS = 60
-/** Weight of a stream that was faster than the pace: a slow one counts at once, and for some fifty after it. */
+/** Weight of a stream that is faster than the average. A slower one replaces the average at once and affects it for about fifty streams. */
 const FASTER_WEIGHT = 0.02
 
-/** Creates the record, empty. */
+/** Creates an empty record. */
 export const createTokenPace = (): TokenPace => {
   const paces = new Map<string, number>()
   return {
--- a/src/services/forwarding/_lib/judgeAnswer.ts
+++ b/src/services/forwarding/_lib/judgeAnswer.ts
@@ -1,10 +1,10 @@
-/** Whether an answer's head belongs to the request, and whether the request was run. */
+/** Decides from an answer's head whether it belongs to the request, and whether the request was run. */
 import type { GatewayRequest, InstanceAnswer } from '../../../types/index.js'
 
 export type AnswerVerdict =
   | { readonly kind: 'own' }
   | { readonly kind: 'notRun' }
-  /** Not the answer to this request, or not the backend server's own bytes. */
+  /** The answer to another request, or bytes that the backend server did not send in this form. */
   | { readonly kind: 'foreign', readonly message: string }
 
 export const judgeAnswer = (request: GatewayRequest, answer: InstanceAnswer): AnswerVerdict => {
--- a/src/services/forwarding/_lib/run.ts
+++ b/src/services/forwarding/_lib/run.ts
@@ -1,4 +1,4 @@
-/** One request on its way, as the forwarding service sees it, and what it is given. */
+/** Types of the handler of one forwarded request, and of what the forwarding service passes to it. */
 import type { RepeatBudgets } from './createRepeatBudgets.js'
 import type { StopGate } from './createStopGate.js'
 import type { StreamDurations } from './createStreamDurations.js'
@@ -22,6 +22,6 @@
 
 export type Run = ForwardingRun & {
   readonly assign: (route: GatewayRoute, account: GatewayAccount | undefined) => void
-  /** Looks at deadline and silences; called every few milliseconds. */
+  /** Checks the deadline and the time without bytes; called periodically, `now` in monotonic milliseconds. */
   readonly check: (now: number) => void
 }
--- a/src/services/forwarding/index.ts
+++ b/src/services/forwarding/index.ts
@@ -1,7 +1,7 @@
 /**
- * Forwarding: each request of a caller to a final answer. The service checks
- * who asks and for what, and keeps one ticker for the deadlines and silences
- * of all open requests; `createRun` has the way of a single one.
+ * Forwards each request of a caller until it has a final answer. The service selects the
+ * route and the client account, and runs one timer that checks the deadlines and idle
+ * times of all open requests; `createRun` handles a single request.
  */
 import { createRun } from './_lib/createRun.js'
 import type { Run, RunContext } from './_lib/run.js'
@@ -43,16 +43,16 @@
 
 /** What operators may change while the node runs. */
 export type ForwardingBounds = {
-  /** No backend server over so many times the mean load of its service. */
+  /** Highest load of a backend server, as a multiple of the mean load of its service. */
   readonly loadFactor: number
   readonly repeatLimits: RepeatBudgetLimits
-  /** A key that was surely valid longer ago than this is not used; in milliseconds. */
+  /** A key whose validity was last confirmed longer ago than this is not accepted; in milliseconds. */
   readonly keyFreshnessMs: number
-  /** A configuration confirmed longer ago than this can't say that a route or key does not exist; in milliseconds. */
+  /** A configuration confirmed longer ago than this is no proof that a route or key does not exist; in milliseconds. */
   readonly configurationFreshnessMs: number
 }
 
-/** A request that came before the node knew anything. */
+/** A request that arrived before the node had its first configuration, server list and zone drains. */
 type Waiting = { readonly request: GatewayRequest, readonly admitNow: () => void }
 
 export type ForwardingOptions = {
@@ -62,17 +62,17 @@
   readonly readBounds: () => ForwardingBounds
 }
 
-/** Deadlines and silences are found this late at most, in milliseconds; a VM with a third of a core feels more wake-ups. */
+/** Longest delay in detecting a missed deadline or an idle exchange, in milliseconds; more timer wake-ups cost noticeable CPU on a VM with a third of a core. */
 const TICK_MS = 50
 /**
- * How long a request waits on a node that has just started for its first
- * configuration and list, in milliseconds: both come within some 50 ms of the
- * start, and a refusal would cost its caller half a second.
+ * How long a request on a recently started node waits for the first configuration and
+ * backend server list, in milliseconds. Both arrive within about 50 ms of the start,
+ * while a refusal would cost the caller half a second.
  */
 const FIRST_KNOWLEDGE_WAIT_MS = 400
-/** For so long after its start a node expects its first knowledge at any moment, in milliseconds. */
+/** Time after the start in which a node defers requests until its initial state arrives, in milliseconds; later it refuses them. */
 const YOUNG_MS = 1_500
-/** When to come back after a refusal for want of knowledge: a source is asked again within that time. */
+/** Retry-After of a refusal because state is missing or stale, in milliseconds; the source is read again within that time. */
 const UNKNOWN_RETRY_MS = 500
 
 const NO_REGIONS: ReadonlyMap<string, string> = new Map()
@@ -80,8 +80,8 @@
 /**
  * Creates the service.
  *
- * @param dependencies - What the node knows, and how to reach backend servers.
- * @param options - Zone, budgets and freshness bounds.
+ * @param dependencies - State of the node, and the client for backend servers.
+ * @param options - Availability zone, regions and the bounds that operators may change.
  * @returns The service for the kernel.
  *
  * @example
@@ -101,7 +101,7 @@
   let timer: Timer | undefined
   let index: ReadonlyMap<string, readonly GatewayRoute[]> | undefined
 
-  // Made when a request needs it: most versions of a storm are replaced before one does.
+  // Built on first use: in a burst of configuration changes most versions are replaced before a request needs them.
   configuration.onChange(() => { index = undefined })
 
   const readIndex = (): ReadonlyMap<string, readonly GatewayRoute[]> => {
@@ -111,7 +111,7 @@
 
   const isUpToDate = (): boolean => configuration.confirmedAgeMs() <= options.readBounds().configurationFreshnessMs
 
-  /** A node that may be behind can't say that something does not exist. */
+  /** A node whose configuration may be stale can't tell that something does not exist. */
   const refuseUnknown = (refusal: GatewayRefusal): GatewayRefusal =>
     isUpToDate() ? refusal : { status: 503, reason: 'noConfiguration', retryAfterMs: UNKNOWN_RETRY_MS }
 
@@ -146,7 +146,7 @@
     run.assign(route, account)
   }
 
-  /** What is not known to be late goes by its goal; a request without a route is refused whenever its turn comes. */
+  /** Input of the order in which deferred requests are sent. A request without a route gets a target of 0: it is refused whenever its turn comes. */
   const toHeld = ({ request, admitNow }: Waiting): HeldRequest & Pick<Waiting, 'admitNow'> => {
     const route = selectGatewayRoute(readIndex(), request.host, request.target)
     const ageMs = clock.now() - request.receivedAt
--- a/src/services/forwarding/test.ts
+++ b/src/services/forwarding/test.ts
@@ -43,7 +43,7 @@
 
 const MEMBER: Member = { nodeId: 'node-1', incarnation: 1, address: { host: 'node-1', port: 1 }, availabilityZone: 'a', state: 'live', generation: 1 }
 
-/** A node that has just been started: it knows nothing until `learn`. */
+/** A recently started node, without configuration and server list until `learn`. */
 const startNode = () => {
   const clock = createManualClock()
   const sent: string[] = []
@@ -115,8 +115,8 @@
   }
 }
 
-describe('a node that has just been started', () => {
-  test('holds what comes before it knows anything, and sends it at once when it does', async () => {
+describe('a recently started node', () => {
+  test('defers requests until its initial state arrives, and then sends them at once', async () => {
     const node = startNode()
     node.call('r1', '/short/1')
     await node.clock.advanceAndSettle(100)
@@ -125,8 +125,8 @@
     expect(node.sent).toEqual(['r1'])
   })
 
-  // After a loss of power a short look-up that waits behind long streams would be late.
-  test('sends first what has the least time left', async () => {
+  // Load pattern: after a power loss many requests are deferred at once. A short lookup sent after long streams would miss its deadline.
+  test('sends deferred requests with the least time left first', async () => {
     const node = startNode()
     node.call('long-1', '/long/1')
     node.call('long-2', '/long/2')
@@ -136,7 +136,7 @@
     expect(node.sent).toEqual(['short-1', 'long-1', 'long-2'])
   })
 
-  test('refuses as not run what has waited long enough', async () => {
+  test('refuses a deferred request as not run after the maximum wait', async () => {
     const node = startNode()
     node.call('r1', '/short/1')
     await node.clock.advanceAndSettle(450)
@@ -146,9 +146,9 @@
   })
 })
 
-describe('a node that stops', () => {
-  // A request admitted in time that waited before it was sent was cut by the node's end.
-  test.each([[100, ['r1'], []], [800, [], ['503 shuttingDown']]])('judges the time left again after %i ms of waiting for a body', async (bodyAfterMs, sent, answers) => {
+describe('a node that is shutting down', () => {
+  // A request that was admitted in time but waited for its body before the send was cut off by the end of the node.
+  test.each([[100, ['r1'], []], [800, [], ['503 shuttingDown']]])('checks the remaining time again after %i ms of waiting for a body', async (bodyAfterMs, sent, answers) => {
     const node = startNode()
     node.learn()
     node.beginStopping(node.clock.now() + TIMEOUT_MS + 500)
@@ -157,7 +157,7 @@
     expect([node.sent, node.answers]).toEqual([sent, answers])
   })
 
-  /** A stream whose server breaks off after its first event, `leftMs` before the node's end. */
+  /** Breaks off a stream after its first event, `leftMs` before the end of the node. */
   const breakStream = async (leftMs: number) => {
     const node = startNode()
     node.learn()
@@ -172,13 +172,13 @@
     return node
   }
 
-  // A repeat was sent whatever the time left, and cut by the node's end instead of going on at another node at once.
-  test('breaks off a stream at once that it could not bring to its end after another send', async () => {
+  // A retry was sent whatever time was left and was cut off by the end of the node, instead of resuming at another node at once.
+  test('breaks off a stream at once that a retry could not complete in time', async () => {
     const node = await breakStream(TIMEOUT_MS - 1_000)
     expect([node.sent, node.answers]).toEqual([['r1'], ['broken off']])
   })
 
-  test('sends a stream once more that its deadline ends in time', async () => {
+  test('retries a stream whose deadline lies before the end of the node', async () => {
     const node = await breakStream(TIMEOUT_MS + 100)
     expect([node.sent, node.answers]).toEqual([['r1', 'r1'], []])
   })
