--- a/src/services/claims/_lib/answerNotKept.ts
+++ b/src/services/claims/_lib/answerNotKept.ts
@@ -2,7 +2,7 @@
 
 const CONFLICT_STATUS = 409
 
-/** What a repeat gets when the request was completed and its answer was too large to keep: it ran, and does not run again. */
+/** Answer to a duplicate request when the original was completed but its answer was too large to store: it ran and is not run again. */
 export const answerNotKept = (): StoredAnswer => ({
   status: CONFLICT_STATUS,
   headers: { 'content-type': 'application/json', 'x-should-retry': 'false' },
--- a/src/services/claims/_lib/codecs.ts
+++ b/src/services/claims/_lib/codecs.ts
@@ -1,7 +1,7 @@
 /**
- * The bytes of the claim log: batches, snapshots, floors, and the entries and
- * records that routers send each other. What is read is checked in shape, so
- * that a damaged object makes its shard unavailable and is never folded.
+ * Encodes and decodes the objects of the claim log (batches, snapshots, floors), and the
+ * entries and records that routers send each other. Decoding validates the shape: a
+ * damaged object makes its shard unavailable and is never folded.
  */
 import { decode, encode } from 'cbor-x'
 import { z } from 'zod'
@@ -50,20 +50,20 @@
 
 const claimLayout = z.object({ shards: z.number().int().min(1) })
 
-/** A piece of a shard's fold, small enough for one object. */
+/** A part of a shard's folded state, small enough for one object. */
 export type ClaimSnapshotPart = {
   readonly records: readonly (readonly [string, ClaimRecord])[]
   readonly releases: readonly (readonly [string, number])[]
 }
 
-/** A shard's fold as a whole, in memory. */
+/** The complete folded state of a shard, in memory. */
 export type ClaimSnapshot = ClaimSnapshotPart & {
   /** The first sequence number that is not folded into the snapshot. */
   readonly floor: number
   readonly forgetBefore: number
 }
 
-/** What the snapshot object holds: the names of the parts make up the rest. */
+/** The snapshot object; records and releases are in the parts that it names. */
 export type ClaimSnapshotRoot = {
   readonly floor: number
   readonly forgetBefore: number
@@ -72,12 +72,12 @@
 
 export type ClaimFloor = { readonly floor: number }
 
-/** Number of shards, fixed in the platform: nodes that counted differently would look for a key in different logs. */
+/** Number of shards, stored in the platform: nodes with different numbers would look for a key in different logs. */
 export type ClaimLayout = { readonly shards: number }
 
 type Codec<Value> = {
   readonly encode: (value: Value) => Uint8Array
-  /** Gives `undefined` for bytes that are damaged or of another shape. */
+  /** Returns `undefined` for bytes that are damaged or have another shape. */
   readonly decode: (bytes: Uint8Array) => Value | undefined
 }
 
--- a/src/services/claims/_lib/createBackgroundEntries.ts
+++ b/src/services/claims/_lib/createBackgroundEntries.ts
@@ -1,7 +1,7 @@
 /**
- * Releases and completions on their way to the log. Nobody waits for them with
- * a deadline, so they are tried again until the platform takes them. Lost ones
- * (this node dies) leave a key claimed with an unknown outcome, which is safe.
+ * Writes releases and completions to the log in the background. No request waits for them
+ * with a deadline, so each is retried until the platform accepts it. An entry that is lost
+ * because the node dies leaves its key claimed with an unknown outcome, which is safe.
  */
 import type { ClaimCompletionEntry, ClaimReleaseEntry } from '../../../decisions/foldClaims/index.js'
 import type { ClaimsDependencies } from '../index.js'
@@ -9,14 +9,14 @@
 
 export type BackgroundEntry = ClaimReleaseEntry | ClaimCompletionEntry
 
-/** Beyond this, the oldest is given up: an outage must not fill the node's memory. */
+/** Beyond this number the oldest entry is dropped, so that an outage does not exhaust the memory. */
 const MAXIMUM_ENTRIES = 5_000
 
-/** What stopping allows for a last try, in pauses of an outage. */
+/** Attempts for each entry after the shutdown began; `outagePauseMs` lies between them. */
 const STOP_ATTEMPTS = 2
 
 export type BackgroundEntries = {
-  /** Resolves once the entry is in the log, or was given up. */
+  /** Resolves once the entry is in the log, or was dropped. */
   readonly add: (entry: BackgroundEntry) => Promise<void>
   readonly find: (keyId: string) => BackgroundEntry | undefined
   readonly stop: () => Promise<void>
@@ -49,7 +49,7 @@
   const dropOldest = (): void => {
     const [oldest] = waiting.keys()
     if (waiting.size < MAXIMUM_ENTRIES || oldest === undefined) return
-    logger.warn('a claim entry was given up because too many wait for the platform', { claimId: oldest })
+    logger.warn('oldest waiting claim entry dropped: too many entries wait for the platform', { claimId: oldest })
     giveUp(oldest)
   }
 
--- a/src/services/claims/_lib/createEntryRouter.ts
+++ b/src/services/claims/_lib/createEntryRouter.ts
@@ -1,7 +1,7 @@
 /**
- * Takes entries to the log: to the shard's preferred writer over the peer
- * transport, or into this node's own queue where that fails. The entry may
- * then reach the log twice, which the fold ignores.
+ * Routes entries to the log: to the preferred writer of the shard over the peer transport,
+ * or to this node's own queue when that fails. The entry may then be written twice; the
+ * fold ignores the second copy.
  */
 import { LRUCache } from 'lru-cache'
 import { failure, success } from '../../../kernel/index.js'
@@ -18,7 +18,7 @@
 import type { EntryVerdict, ShardQueue } from './createShardQueue.js'
 import { layoutName } from './objectNames.js'
 
-/** Shards whose records a node keeps; a dropped one is read again when it is needed. */
+/** Shards whose records a node keeps in memory; an evicted one is read again when it is needed. */
 const MAXIMUM_SHARDS_HELD = 256
 
 const DEFAULT_KEPT_BATCHES = 16
@@ -26,7 +26,7 @@
 const NO_BYTES = new Uint8Array(0)
 
 export type EntryRouter = {
-  /** Takes one entry to its shard's log. `urgent` entries are refused at once while the platform is known to be down. */
+  /** Writes one entry to the log of its shard. `urgent` entries are refused at once while the platform is known to be down. */
   readonly submit: (entry: ClaimEntry, urgent: boolean) => Promise<Result<EntryVerdict, ShardLogError>>
   readonly isIdle: () => boolean
 }
@@ -58,7 +58,7 @@
     return queue
   }
 
-  /** The first node ever fixes the number of shards; a node with another setting would look for claims in other logs. */
+  /** The first node of the fleet stores the number of shards: a node that used another number would look for claims in other logs. */
   const readShardCount = async (): Promise<number | undefined> => {
     if (shardCount !== undefined) return shardCount
     await platform.createObject(layoutName, layoutCodec.encode({ shards: options.shards }))
@@ -87,24 +87,24 @@
   const submit = async (entry: ClaimEntry, urgent: boolean): Promise<Result<EntryVerdict, ShardLogError>> => {
     if (shardCount === undefined && urgent && !gate.enter()) return failure({ kind: 'notWritten', message: 'the platform is down' })
     const shards = await readShardCount()
-    if (shards === undefined) return failure({ kind: 'notWritten', message: 'the layout of the claim log cannot be read' })
+    if (shards === undefined) return failure({ kind: 'notWritten', message: 'the layout of the claim log (number of shards) cannot be read' })
     const shard = selectClaimShard(entry.keyId, shards)
     const writer = selectWriter(shard)
     if (writer === undefined || writer.nodeId === membership.self().nodeId) return await submitHere(shard, entry, urgent)
     const asked = await askWriter(writer, shard, entry)
     if (asked.ok) return asked
     const result = await submitHere(shard, entry, urgent)
-    // The writer may still append what it did not answer for.
+    // The writer may still append the entry although its reply did not arrive.
     return result.ok ? result : failure({ kind: 'outcomeUnknown', message: result.error.message })
   }
 
   const appendForPeer = async (shard: number, encoded: readonly Uint8Array[]): Promise<PeerReply> => {
     const entries = encoded.map((bytes) => entryCodec.decode(bytes))
-    if (entries.includes(undefined)) return { kind: 'claimRefused', message: 'an entry is damaged' }
+    if (entries.includes(undefined)) return { kind: 'claimRefused', message: 'an entry of the append request is damaged' }
     const shards = await readShardCount()
     if (shards === undefined) return { kind: 'claimRefused', message: 'the platform is down' }
     const decoded = entries as readonly ClaimEntry[]
-    if (decoded.some((entry) => selectClaimShard(entry.keyId, shards) !== shard)) return { kind: 'claimRefused', message: 'an entry is of another shard' }
+    if (decoded.some((entry) => selectClaimShard(entry.keyId, shards) !== shard)) return { kind: 'claimRefused', message: 'an entry of the append request belongs to another shard' }
     const results = await Promise.all(decoded.map((entry) => submitHere(shard, entry, entry.kind === 'claim')))
     const refused = results.find((result) => !result.ok)
     if (refused !== undefined && !refused.ok) return { kind: 'claimRefused', message: refused.error.message }
--- a/src/services/claims/_lib/createOpenClaims.ts
+++ b/src/services/claims/_lib/createOpenClaims.ts
@@ -1,8 +1,8 @@
 /**
- * The keys that this node is claiming or has in flight, the repeats that wait
- * for their answers here, and how the last keys that it sent ended. The latter
- * keeps a repeat during an outage truthful: a key that was sent from here is
- * not refused as not run only because the log cannot be read.
+ * Holds the keys that this node is claiming or has in flight, the duplicate requests that
+ * wait for their answers, and the outcomes of the latest keys that it sent. The outcomes
+ * keep answers correct in an outage: a duplicate of a request that was sent from here must
+ * not be refused as not run only because the log cannot be read.
  */
 import { LRUCache } from 'lru-cache'
 import type { StoredAnswer } from '../../../types/index.js'
@@ -11,7 +11,7 @@
   | { readonly kind: 'completed', readonly answer: StoredAnswer }
   /** Not sent; the key is free again. */
   | { readonly kind: 'released' }
-  /** Sent, and nothing more will be learnt of it here. */
+  /** Sent; this node will not learn the outcome. */
   | { readonly kind: 'unknown' }
 
 export type OpenClaim = {
@@ -31,9 +31,9 @@
 export type OpenClaims = {
   readonly open: (keyId: string, claimId: string, bodyHash: string) => void
   readonly find: (keyId: string) => OpenClaim | undefined
-  /** Ends the claim where it is still the one that is open. */
+  /** Ends the claim if it is still the open one of its key. */
   readonly end: (keyId: string, claimId: string, end: OpenClaimEnd) => void
-  /** How a key that was sent from here ended, while it is remembered. */
+  /** Returns the outcome of a key that was sent from this node, while it is kept. */
   readonly findEnded: (keyId: string) => EndedClaim | undefined
 }
 
--- a/src/services/claims/_lib/createOutcomeExchange.ts
+++ b/src/services/claims/_lib/createOutcomeExchange.ts
@@ -1,6 +1,6 @@
 /**
- * Asks the holder of an open claim for its answer, and answers when asked. The
- * log may lag behind the holder: its completion is written in a later batch.
+ * Requests the answer of an open claim from its holder, and serves such requests of peers.
+ * The log may lag behind the holder, whose completion is written in a later batch.
  */
 import type { ClaimRecord } from '../../../decisions/foldClaims/index.js'
 import type { ClaimKey, PeerReply, StoredAnswer } from '../../../types/index.js'
@@ -10,7 +10,7 @@
 import { formatKeyId } from './formatKeyId.js'
 
 export type OutcomeExchange = {
-  /** The answer, when the holder lives and has completed the request. */
+  /** Returns the answer when the holder responds and has completed the request, `undefined` otherwise. */
   readonly askHolder: (key: ClaimKey, record: ClaimRecord) => Promise<StoredAnswer | undefined>
 }
 
--- a/src/services/claims/_lib/createPlatformGate.ts
+++ b/src/services/claims/_lib/createPlatformGate.ts
@@ -1,12 +1,12 @@
 /**
- * Remembers that the platform failed, so that claims are refused at once in an
- * outage and do not each wait for a time-out of their own. One claim after
- * each pause goes through to see whether the platform is back.
+ * Circuit breaker for the platform: after a failure claims are refused at once instead of
+ * each waiting for a time-out. After each pause one claim is let through to find out
+ * whether the platform is reachable again.
  */
 import type { Clock } from '../../../types/index.js'
 
 export type PlatformGate = {
-  /** Whether an attempt may be made now; giving true counts as the attempt. */
+  /** Whether an attempt may be made now; returning true counts as the attempt. */
   readonly enter: () => boolean
   readonly record: (isUp: boolean) => void
 }
--- a/src/services/claims/_lib/createShardLog.test.ts
+++ b/src/services/claims/_lib/createShardLog.test.ts
@@ -30,8 +30,8 @@
 const strayBatch = batchCodec.encode({ batchId: 'stray', writtenAt: 1_700_000_000_000, forgetBefore: 0, entries: [createClaim('other key', 'stray')] })
 
 describe('createShardLog', () => {
-  // A stray batch in a pruned place would be read as the true one, and an order granted twice.
-  it('does not build on a stray batch that took a pruned place', async () => {
+  // Otherwise a stray batch in the place of a pruned one would be read as the original, and a key granted twice.
+  it('does not use a stray batch in the place of a pruned one', async () => {
     const { platform, createLog } = createLogs()
     const behind = createLog()
     const ahead = createLog()
@@ -53,7 +53,7 @@
     expect(await platform.readObject(batchName(SHARD, 0))).toMatchObject({ value: { name: batchName(SHARD, 0) } })
   })
 
-  it('never lowers a snapshot', async () => {
+  it('never replaces a snapshot by an older one', async () => {
     const { platform, createLog } = createLogs()
     const log = createLog()
     await log.append([createClaim('order', 'log')])
@@ -66,7 +66,7 @@
     expect(late.findRecord('later key')?.claimId).toBe('log')
   })
 
-  it('keeps a fold in its snapshot that is larger than one object', async () => {
+  it('stores a snapshot that is larger than one object', async () => {
     const { platform, createLog } = createLogs()
     const log = createLog()
     for (let batch = 0; batch < 10; batch += 1) {
@@ -111,7 +111,7 @@
     expect(snapshot.ok && snapshot.value?.records.map(([keyId]) => keyId)).toEqual(['order', 'later key'])
   })
 
-  it('drops the oldest answers beyond its memory, and still knows that they ran', async () => {
+  it('drops the oldest answers beyond the size limit and still records that the requests ran', async () => {
     const { createLog } = createLogs()
     const log = createLog()
     const answer = { status: 201, headers: {}, body: new Uint8Array(300_000) }
@@ -134,7 +134,7 @@
     expect(await createLog().append([createClaim('order', 'log')])).toMatchObject({ ok: false, error: { kind: 'notWritten' } })
   })
 
-  it('reads more batches than one append may lose races', async () => {
+  it('reads more batches than the maximum number of append attempts', async () => {
     const { createLog } = createLogs()
     const writer = createLog()
     for (let index = 0; index < 200; index += 1) await writer.append([createClaim(`key ${index}`, 'writer')])
--- a/src/services/claims/_lib/createShardLog.ts
+++ b/src/services/claims/_lib/createShardLog.ts
@@ -1,21 +1,22 @@
 /**
  * One shard of the claim log in the platform: reading, appending, pruning.
  *
- * Batches are created only where none exists, so two writers cannot both write
- * number n. Pruning opens a gap in that argument. A writer that was paused
- * before it creates number n may wake when n was written by another, folded
- * into a snapshot and deleted: its create succeeds, and it would believe that
- * it holds a claim which another node was granted long ago. A node that reads
- * n at that moment would also fold the stray batch as if it were the true one.
+ * A batch is created only where none exists, so two writers cannot both write
+ * number n. Pruning alone would break that guarantee: a writer that is paused
+ * before it creates number n may resume after another writer wrote n and n was
+ * folded into a snapshot and deleted. Its create succeeds, and it would take
+ * itself for the holder of a claim that another node was granted long ago. A
+ * node that reads n at that moment would also fold the stray batch as if it
+ * were the original one.
  *
- * The guard is the floor object. The pruner first commits the snapshot, then
- * raises the floor, and only when that is confirmed deletes batches below the
- * floor. So if number n was ever deleted, a read of the floor that starts
- * afterwards gives more than n. Every read and every append of the log ends
+ * The floor object prevents this. The pruner first commits the snapshot, then
+ * raises the floor, and deletes batches below the floor only after that is
+ * confirmed. So if number n was ever deleted, a read of the floor that starts
+ * afterwards returns more than n. Every read and every append of the log ends
  * with such a read of the floor. With a floor at or below the first number
  * folded since the last check, nothing that was folded or created can have
- * taken a deleted number's place. With a higher floor, all state is dropped
- * and loaded again from the snapshot, and the batch is appended anew; folding
+ * taken the place of a deleted batch. With a higher floor, all state is dropped
+ * and loaded again from the snapshot, and the batch is appended again; folding
  * it twice changes nothing. The argument needs no clocks and no time-outs: a
  * writer may be paused at any step for any time.
  */
@@ -29,13 +30,13 @@
 import { batchName, floorName } from './objectNames.js'
 import { readSnapshot } from './snapshots.js'
 
-/** More lost races than this in one append mean that something else is wrong. */
+/** More lost races than this in one append indicate another fault. */
 const MAXIMUM_APPEND_ATTEMPTS = 64
 
 export type ShardLogError =
   /** Nothing of the batch can be in the log. */
   | { readonly kind: 'notWritten', readonly message: string }
-  /** The batch may be in the log, or may still get there. */
+  /** The batch may be in the log, or may still arrive there. */
   | { readonly kind: 'outcomeUnknown', readonly message: string }
 
 export type ShardLogDependencies = {
@@ -47,17 +48,17 @@
 
 export type ShardLogOptions = { readonly retentionMs: number }
 
-/** All operations of one log must run one after the other. */
+/** Operations of one log must not run concurrently. */
 export type ShardLog = {
-  /** Folds what others wrote since the last call. */
+  /** Folds the batches that others wrote since the last call. */
   readonly synchronize: () => Promise<Result<undefined, ShardLogError>>
-  /** Writes the entries as one batch; afterwards the records show what it did. */
+  /** Writes the entries as one batch and folds it; afterwards the records show the result. */
   readonly append: (entries: readonly ClaimEntry[]) => Promise<Result<undefined, ShardLogError>>
   readonly findRecord: (keyId: string) => ClaimRecord | undefined
   readonly isReleased: (claimId: string) => boolean
   /** The first number that is not folded yet. */
   readonly nextSequence: () => number
-  /** The fold so far; `undefined` while some of it is not checked against the floor. */
+  /** The folded state; `undefined` while part of it is not checked against the floor. */
   readonly toSnapshot: () => ClaimSnapshot | undefined
 }
 
@@ -77,9 +78,9 @@
   let isLoaded = false
   /** The next number to read or create. */
   let next = 0
-  /** Every number below this one was folded from its true batch. */
+  /** Every number below this one is known to be folded from its original batch. */
   let verifiedThrough = 0
-  /** Set while a batch of this node's is looked for in what is read. */
+  /** Id of this node's own batch during an append, to recognise it among the batches that are read. */
   let awaitedBatchId: string | undefined
   let isAwaitedBatchFolded = false
 
@@ -119,7 +120,7 @@
     }
   }
 
-  /** Gives false when pruning may have touched what was folded; the state is then dropped. */
+  /** Returns false, and drops the state, when pruning may have affected what was folded. */
   const verifyAgainstFloor = async (): Promise<Result<boolean, ShardLogError>> => {
     const read = await platform.readObject(floorName(shard))
     if (!read.ok) return failure(outcomeUnknown(`the floor of claim shard ${shard} cannot be read: ${read.error.kind}`))
@@ -129,7 +130,7 @@
       verifiedThrough = next
       return success(true)
     }
-    logger.info('claim shard was pruned past this node, loading its snapshot', { shard, next, floor: floor.floor })
+    logger.info('claim shard was pruned beyond the position of this node, loading its snapshot', { shard, next, floor: floor.floor })
     isLoaded = false
     return success(false)
   }
@@ -147,7 +148,7 @@
     return failure(notWritten(`claim shard ${shard} is pruned faster than it can be read`))
   }
 
-  /** Tries to get the batch in at the end of the log, as this node sees it. */
+  /** Tries to write the batch at the end of the log, as this node sees it. */
   const writeAtEnd = async (batch: ClaimBatch, bytes: Uint8Array): Promise<Result<undefined, ShardLogError>> => {
     let mayBeWritten = false
     const blame = (message: string): ShardLogError => mayBeWritten ? outcomeUnknown(message) : notWritten(message)
@@ -158,9 +159,9 @@
         return success(undefined)
       }
       if (created.error.kind === 'unavailable' || created.error.kind === 'rejected') return failure(blame(created.error.message))
-      // Lost reply: the batch may be there, or arrive later. It can only ever
-      // take this number, so reading the number back and, where it is free,
-      // creating it again with the same bytes cannot put it there twice.
+      // The reply was lost: the batch may be there, or arrive later. It can only
+      // ever take this number, so reading the number back and, where it is free,
+      // creating it again with the same bytes cannot write it twice.
       if (created.error.kind === 'outcomeUnknown') mayBeWritten = true
       const end = await readToEnd()
       if (!end.ok) return failure(blame(end.error.message))
--- a/src/services/claims/_lib/createShardQueue.ts
+++ b/src/services/claims/_lib/createShardQueue.ts
@@ -1,7 +1,7 @@
 /**
- * Gathers the entries that come in for one shard and commits them in batches,
- * one at a time and at most one each flush interval, so that the writes a
- * second at the platform do not grow with the request rate.
+ * Queues the entries of one shard and commits them in batches, one at a time and at most
+ * one in each flush interval, so that the write rate at the platform does not grow with
+ * the request rate.
  */
 import { failure, success } from '../../../kernel/index.js'
 import type { ClaimEntry, ClaimRecord } from '../../../decisions/foldClaims/index.js'
@@ -15,13 +15,13 @@
 /** Keeps a batch with answers far below the platform's limit of a megabyte. */
 const MAXIMUM_BATCH_BYTES = 400_000
 
-/** Beyond this, entries are refused: a queue that never empties helps nobody. */
+/** Beyond this length entries are refused: a queue that does not drain helps no caller. */
 const MAXIMUM_QUEUED_ENTRIES = 10_000
 
-/** A snapshot is written anew each time, so a larger shard is pruned less often. */
+/** Each pruning writes the complete snapshot, so its interval grows by one `pruneEvery` for this many records. */
 const RECORDS_PER_INTERVAL = 10_000
 
-/** What holds the entry's key once the entry was taken to the log. */
+/** The record of the entry's key after the entry was written to the log. */
 export type EntryVerdict = { readonly record?: ClaimRecord | undefined }
 
 export type ShardQueue = {
@@ -90,7 +90,7 @@
     return record !== undefined && record.claimId !== entry.claimId
   }
 
-  /** A claim that finds its key held needs no write, once the log was read to its end. */
+  /** Skips claims whose key another claim holds: they need no write, once the log was read to its end. */
   const commit = async (entries: readonly ClaimEntry[]): Promise<Result<undefined, ShardLogError>> => {
     const released = new Set(entries.filter((entry) => entry.kind === 'release').map((entry) => entry.keyId))
     const isBlocked = (entry: ClaimEntry): boolean => entry.kind === 'claim' && !released.has(entry.keyId) && isHeldByOther(entry)
--- a/src/services/claims/_lib/createShardState.ts
+++ b/src/services/claims/_lib/createShardState.ts
@@ -1,12 +1,12 @@
 /**
- * One shard's folded records, held in place. `foldClaims` decides each change;
- * this module applies it, and drops what the retention has made void.
+ * Holds the folded records of one shard in memory. `foldClaims` computes each change; this
+ * module applies it in place and drops records whose retention has ended.
  */
 import { foldClaims } from '../../../decisions/foldClaims/index.js'
 import type { ClaimBatch, ClaimChanges, ClaimRecord } from '../../../decisions/foldClaims/index.js'
 import type { ClaimSnapshot } from './codecs.js'
 
-/** Answers kept for one shard; beyond this the oldest are dropped and their repeats are told that the request ran. */
+/** Total size of the answers kept for one shard; beyond it the oldest are dropped, and their duplicates learn only that the request ran. */
 const MAXIMUM_ANSWER_BYTES = 2_000_000
 
 export type ShardState = {
@@ -20,7 +20,7 @@
   const records = new Map<string, ClaimRecord>(snapshot?.records ?? [])
   const releases = new Map<string, number>(snapshot?.releases ?? [])
   let forgetBefore = snapshot?.forgetBefore ?? 0
-  /** Keys with an answer, oldest first, and the sum of their bytes. */
+  /** Size of each key's answer, oldest first. */
   const answerBytes = new Map<string, number>()
   let allAnswerBytes = 0
 
@@ -56,9 +56,9 @@
     }
   }
 
-  // Entries lie in the order of their writing, so the oldest come first. A
-  // writer's slow clock may hide an old one behind a younger one; it stays a
-  // little longer in memory, and `findRecord` does not show it.
+  // Entries are in the order of their writing, so the oldest come first. With a
+  // writer whose clock is slow, an old entry may follow a newer one; it then stays
+  // a little longer in memory, and `findRecord` does not return it.
   const dropForgotten = (): void => {
     for (const [keyId, record] of records) {
       if (record.writtenAt >= forgetBefore) break
--- a/src/services/claims/_lib/formatKeyId.ts
+++ b/src/services/claims/_lib/formatKeyId.ts
@@ -1,4 +1,4 @@
 import type { ClaimKey } from '../../../types/index.js'
 
-/** One string for a key and its client account; no two pairs share one. */
+/** Formats a key and its client account as one string, unique for each pair. */
 export const formatKeyId = (key: ClaimKey): string => JSON.stringify([key.clientAccount, key.idempotencyKey])
--- a/src/services/claims/_lib/objectNames.ts
+++ b/src/services/claims/_lib/objectNames.ts
@@ -12,7 +12,7 @@
 
 export const partPrefix = (shard: number): string => `${shardPrefix(shard)}parts/`
 
-/** Parts sort by the floor of their snapshot, so that those of older ones are found. */
+/** Parts sort by the floor of their snapshot, so that the parts of older snapshots can be listed. */
 export const partName = (shard: number, floor: number, snapshotId: string, index: number): string =>
   `${partPrefix(shard)}${formatSequence(floor)}-${snapshotId}-${index}`
 
--- a/src/services/claims/_lib/pruneShard.ts
+++ b/src/services/claims/_lib/pruneShard.ts
@@ -1,9 +1,8 @@
 /**
- * Folds a shard's old batches into its snapshot and deletes them. The order of
- * the three writes carries the argument at the head of `createShardLog`:
- * snapshot, then floor, then deletes, each only after the one before it is
- * confirmed. A step that fails or whose reply is lost ends the run; the next
- * run starts over and finds whatever took effect.
+ * Folds a shard's old batches into its snapshot and deletes them. The argument at the head
+ * of `createShardLog` relies on the order of the writes: snapshot, then floor, then
+ * deletes, each only after the previous one is confirmed. A step that fails or whose reply
+ * is lost ends the run; the next run starts over and finds whatever took effect.
  */
 import type { ObjectVersion, Platform, RandomSource } from '../../../types/index.js'
 import { floorCodec, snapshotRootCodec } from './codecs.js'
@@ -13,7 +12,7 @@
 
 type Raise = 'written' | 'higherAlready' | 'failed'
 
-/** Raises an object that holds a number. Only a confirmed write or a read of as high a number is no failure. */
+/** Raises the number that an object holds. Succeeds only with a confirmed write, or when the stored number is at least as high. */
 const raise = async (platform: Platform, name: string, value: number, readValue: (bytes: Uint8Array) => number | undefined, bytes: Uint8Array): Promise<Raise> => {
   const read = await platform.readObject(name)
   if (!read.ok) return 'failed'
@@ -39,10 +38,10 @@
 }
 
 /**
- * Deletes the parts of older snapshots and those that failed prunings left. A
- * root only ever replaces one with a lower floor, so a part of this floor or a
- * lower one that the root in place does not name can never be named again.
- * Parts of a higher floor may be another pruner's, on their way to a root.
+ * Deletes the parts of older snapshots and those that failed prunings left behind. A root
+ * only ever replaces one with a lower floor, so a part of this floor or a lower one that
+ * the current root does not name can never be named again. Parts of a higher floor may
+ * belong to another pruner that has not written its root yet.
  */
 const deletePartsUpTo = async (platform: Platform, shard: number, floor: number, kept: readonly string[]): Promise<void> => {
   const end = partEnd(shard, floor)
@@ -56,15 +55,15 @@
   readonly platform: Platform
   readonly random: RandomSource
   readonly shard: number
-  /** Batches kept below the snapshot's end, so that nodes a little behind need not load it. */
+  /** Batches kept below the end of the snapshot, so that nodes that lag a little need not load it. */
   readonly keptBatches: number
 }
 
 /**
- * Prunes one shard up to a snapshot of its checked state.
+ * Prunes one shard up to a snapshot of its verified state.
  *
- * @param pruning - Where, and how much to keep.
- * @param snapshot - The shard's fold, checked against the floor.
+ * @param pruning - Platform, shard number, and the number of batches to keep.
+ * @param snapshot - The shard's folded state, checked against the floor.
  * @returns `pruned`, or `failed` when a step was not confirmed.
  */
 export const pruneShard = async ({ platform, random, shard, keptBatches }: Pruning, snapshot: ClaimSnapshot): Promise<PruneOutcome> => {
--- a/src/services/claims/_lib/snapshots.ts
+++ b/src/services/claims/_lib/snapshots.ts
@@ -1,8 +1,7 @@
 /**
- * A shard's snapshot in the platform: a root object that names its parts, as
- * the fold of a busy shard does not fit one object. Parts are written first,
- * under names that nobody else uses, so a snapshot is in place as a whole with
- * the write of its root, or not at all.
+ * Reads and writes a shard's snapshot in the platform: a root object that names its parts,
+ * as the state of a busy shard does not fit into one object. Parts are written first, under
+ * unique names, so the write of the root puts the complete snapshot in place atomically.
  */
 import { failure, success } from '../../../kernel/index.js'
 import type { Platform, RandomSource, Result } from '../../../types/index.js'
@@ -10,12 +9,12 @@
 import type { ClaimSnapshot, ClaimSnapshotPart } from './codecs.js'
 import { partName, snapshotName } from './objectNames.js'
 
-/** Entries of one part; with answers they are fewer, by their size. */
+/** Entries in one part; parts with answers are also limited by the size of the answers. */
 const MAXIMUM_PART_ENTRIES = 2_000
 
 const MAXIMUM_PART_ANSWER_BYTES = 300_000
 
-/** A snapshot that is replaced while it is read loses its parts; more often than this in a row is a fault. */
+/** A snapshot that is replaced while it is read loses its parts; more often than this in a row indicates a fault. */
 const MAXIMUM_READ_ATTEMPTS = 5
 
 const splitIntoParts = ({ records, releases }: ClaimSnapshot): readonly ClaimSnapshotPart[] => {
@@ -38,12 +37,12 @@
 }
 
 /**
- * Writes the parts of a snapshot under names of its own.
+ * Writes the parts of a snapshot under unique names.
  *
  * @param platform - The object API.
  * @param random - Source of the snapshot's id.
  * @param shard - Shard number.
- * @param snapshot - The shard's fold.
+ * @param snapshot - The shard's folded state.
  * @returns The names in order; `undefined` when a write was not confirmed.
  */
 export const writeSnapshotParts = async (platform: Platform, random: RandomSource, shard: number, snapshot: ClaimSnapshot): Promise<readonly string[] | undefined> => {
@@ -60,7 +59,7 @@
 
 type ReadOutcome = Result<ClaimSnapshot | undefined, string>
 
-/** Gives `replaced` when a part is gone: a newer snapshot has taken this one's place. */
+/** Returns `replaced` when a part no longer exists: a newer snapshot has replaced this one. */
 const readOnce = async (platform: Platform, shard: number): Promise<ReadOutcome | 'replaced'> => {
   const read = await platform.readObject(snapshotName(shard))
   if (!read.ok) return failure(`cannot be read: ${read.error.kind}`)
@@ -81,11 +80,11 @@
 }
 
 /**
- * Reads a shard's snapshot whole.
+ * Reads a shard's complete snapshot.
  *
  * @param platform - The object API.
  * @param shard - Shard number.
- * @returns The snapshot, `undefined` when there is none yet, or why it cannot be had.
+ * @returns The snapshot, `undefined` when there is none yet, or why it cannot be read.
  */
 export const readSnapshot = async (platform: Platform, shard: number): Promise<ReadOutcome> => {
   for (let attempt = 0; attempt < MAXIMUM_READ_ATTEMPTS; attempt += 1) {
--- a/src/services/claims/index.ts
+++ b/src/services/claims/index.ts
@@ -1,11 +1,11 @@
 /**
- * At-most-once claims. Before a request that may not be repeated is sent, its
- * key is claimed in a log that the platform keeps; the fold of the log names
- * one claimant, and only that one sends.
+ * Claims idempotency keys, so that a non-idempotent request is sent at most once.
+ * Before the request is sent, its key is claimed in a log that the platform stores;
+ * folding the log yields one claimant for the key, and only that one sends.
  *
- * Nobody takes a claim over on a time-out: a claimant that was paused and
- * wakes is still the only sender. The price is that a claimant that dies after
- * its claim leaves the key with an unknown outcome until the retention ends.
+ * A claim never expires by a time-out: a claimant that was paused and resumes is still
+ * the only sender. The cost is that a claimant that dies after its claim leaves the key
+ * with an unknown outcome until the retention ends.
  */
 import type { ClaimRecord } from '../../decisions/foldClaims/index.js'
 import type { ClaimKey, ClaimOutcome, Claims, Clock, Logger, Membership, Metrics, PeerTransport, Platform, RandomSource, StoredAnswer } from '../../types/index.js'
@@ -19,20 +19,20 @@
 import { formatKeyId } from './_lib/formatKeyId.js'
 
 export type ClaimsOptions = {
-  /** Number of shards for the first node ever; later nodes take it from the platform. */
+  /** Number of shards that the first node of the fleet stores in the platform; later nodes read it from there. */
   readonly shards: number
-  /** Least milliseconds between two writes to one shard by one node. */
+  /** Minimum milliseconds between two writes of one node to one shard. */
   readonly flushIntervalMs: number
-  /** Milliseconds after which a claim is forgotten: the horizon of the promise. */
+  /** Milliseconds after which a claim is forgotten; the at-most-once guarantee ends with it. */
   readonly retentionMs: number
   readonly peerTimeoutMs: number
-  /** Answers with a larger body are not kept for repeats. */
+  /** Answers with a larger body are not stored for duplicate requests. */
   readonly maximumAnswerBytes: number
-  /** Milliseconds between attempts while the platform is down. */
+  /** Milliseconds between two attempts while the platform is down. */
   readonly outagePauseMs: number
   /** Batches of a shard after which it is folded into its snapshot. */
   readonly pruneEvery: number
-  /** Batches kept below a snapshot's end, for nodes a little behind; 16 by default. */
+  /** Batches kept below the end of a snapshot, for nodes that lag a little; 16 by default. */
   readonly keptBatches?: number
 }
 
@@ -50,8 +50,8 @@
 /**
  * Creates the claims service of one node.
  *
- * @param dependencies - What the service works with, and its options.
- * @returns The service; `stop` writes out what still waits, as far as the platform lets it.
+ * @param dependencies - Clock, platform, peers and options of the service.
+ * @returns The service; `stop` writes the waiting entries, as far as the platform is reachable.
  *
  * @example
  * const { api } = createClaims(dependencies)
@@ -79,12 +79,12 @@
     openClaims.open(keyId, claimId, bodyHash)
     const result = await router.submit({ kind: 'claim', keyId, claimId, bodyHash, holder }, true)
     if (result.ok && result.value.record?.claimId === claimId) return { kind: 'granted', claimId }
-    // From here on this claim id is never sent under, so its release is true
-    // whether the claim is in the log, gets there later, or never does.
+    // No request is sent under this claim id any more, so releasing it is correct
+    // whether the claim is in the log, arrives there later, or never does.
     if (!result.ok && result.error.kind === 'outcomeUnknown') background.add({ kind: 'release', keyId, claimId })
     openClaims.end(keyId, claimId, { kind: 'released' })
     if (!result.ok) return { kind: 'unavailable', message: result.error.message }
-    if (result.value.record === undefined) return { kind: 'unavailable', message: 'the claim was not taken into the log' }
+    if (result.value.record === undefined) return { kind: 'unavailable', message: 'the claim is missing in the log after the write' }
     return await judgeRecord(key, result.value.record, bodyHash)
   }
 
--- a/src/services/claims/interleavings.test.ts
+++ b/src/services/claims/interleavings.test.ts
@@ -36,7 +36,7 @@
 type Run = {
   readonly cluster: ClaimNodes
   readonly nodes: ClaimNode[]
-  /** Grants by key that were sent, and so must never be more than one. */
+  /** Number of grants by key whose request was sent; must never exceed one. */
   readonly sent: Map<string, number>
   readonly liveGrants: Map<string, number>
   readonly problems: string[]
@@ -44,7 +44,7 @@
 
 const formatInstanceKey = (index: number) => ({ clientAccount: 'deli', idempotencyKey: KEYS[index]! })
 
-/** A claimant that sends its request, or finds that it cannot and gives the claim back. */
+/** Claims a key, and then either sends the request or releases the claim. */
 const claimOnce = async (run: Run, claimant: ClaimNode, keyIndex: number, sends: boolean): Promise<void> => {
   const key = formatInstanceKey(keyIndex)
   const name = key.idempotencyKey
--- a/src/services/claims/test.ts
+++ b/src/services/claims/test.ts
@@ -16,7 +16,7 @@
 
 const isBatch = (name: string): boolean => /\/\d+$/.test(name)
 
-/** Faults the first create of a batch; all else passes. */
+/** Injects the fault into the first create of a batch; all other calls pass. */
 const faultFirstAppend = (fault: CallFault) => {
   let isUsed = false
   return (call: string, name: string): CallFault => {
@@ -31,7 +31,7 @@
   return { ...cluster, first: cluster.nodes[0]!, second: cluster.nodes[1]! }
 }
 
-/** Cuts the peers, so that each node appends for itself. */
+/** Partitions the nodes, so that each appends to the log itself. */
 const cutPeers = (nodes: readonly ClaimNode[]): void => { for (const node of nodes) node.setReachable(false) }
 
 const grantId = (outcome: ClaimOutcome): string => {
@@ -40,14 +40,14 @@
 }
 
 describe('createClaims', () => {
-  it.each([['through one writer', false], ['with the peers cut off from each other', true]])('grants a key once to two claimants at the same moment, %s', async (_name, isCut) => {
+  it.each([['through one writer', false], ['with the peers cut off from each other', true]])('grants a key to only one of two concurrent claimants, %s', async (_name, isCut) => {
     const { nodes, first, second, settle } = createPair()
     if (isCut) cutPeers(nodes)
     const outcomes = await settle(Promise.all([first.claims.claim(KEY, HASH), second.claims.claim(KEY, HASH)]))
     expect(outcomes.map((outcome) => outcome.kind).sort()).toEqual(['claimedElsewhere', 'granted'])
   })
 
-  it('gives the same answer again at any node', async () => {
+  it('returns the stored answer at any node', async () => {
     const { first, second, settle } = createPair()
     const claimId = grantId(await settle(first.claims.claim(KEY, HASH)))
     await settle(first.claims.complete(KEY, claimId, createAnswer()))
@@ -55,7 +55,7 @@
     expect(readText(await settle(first.claims.claim(KEY, HASH)))).toBe('done')
   })
 
-  it('asks the holder for an answer that is not in the log yet', async () => {
+  it('requests an answer that is not in the log yet from the holder', async () => {
     const { nodes, first, second, settle, run } = createPair()
     const claimId = grantId(await settle(first.claims.claim(KEY, HASH)))
     for (const node of nodes) node.platform.setFault((call) => call === 'create' ? 'refused' : 'none')
@@ -65,7 +65,7 @@
     expect(readText(await settle(second.claims.claim(KEY, HASH)))).toBe('done')
   })
 
-  it('refuses a key that is used again with another body', async () => {
+  it('refuses a key that is reused with another body', async () => {
     const { first, second, settle } = createPair()
     await settle(first.claims.claim(KEY, HASH))
     expect((await settle(first.claims.claim(KEY, 'other'))).kind).toBe('keyReused')
@@ -78,7 +78,7 @@
     expect((await settle(first.claims.claim({ ...KEY, clientAccount: 'cafe' }, HASH))).kind).toBe('granted')
   })
 
-  it('lets a repeat wait for the answer that is on its way here', async () => {
+  it('lets a duplicate request wait for the answer of the request in flight', async () => {
     const { first, settle, run } = createPair()
     const claimId = grantId(await settle(first.claims.claim(KEY, HASH, 1_000)))
     const repeat = first.claims.claim(KEY, HASH, 1_000)
@@ -87,13 +87,13 @@
     expect(readText(await settle(repeat))).toBe('done')
   })
 
-  it('tells a waiting repeat at its deadline that the outcome is unknown', async () => {
+  it('reports an unknown outcome to a waiting duplicate request at its deadline', async () => {
     const { first, settle } = createPair()
     await settle(first.claims.claim(KEY, HASH, 1_000))
     expect((await settle(first.claims.claim(KEY, HASH, 1_000))).kind).toBe('claimedElsewhere')
   })
 
-  it('grants a waiting repeat the key that was released', async () => {
+  it('grants a released key to a waiting duplicate request', async () => {
     const { first, settle, run } = createPair()
     const claimId = grantId(await settle(first.claims.claim(KEY, HASH, 1_000)))
     const repeat = first.claims.claim(KEY, HASH, 1_000)
@@ -102,7 +102,7 @@
     expect((await settle(repeat)).kind).toBe('granted')
   })
 
-  it('says that a request ran whose answer was too large to keep', async () => {
+  it('reports that a request ran when its answer was too large to store', async () => {
     const { first, second, settle } = createPair({ maximumAnswerBytes: 3 })
     const claimId = grantId(await settle(first.claims.claim(KEY, HASH)))
     await settle(first.claims.complete(KEY, claimId, createAnswer('four')))
@@ -121,8 +121,8 @@
 })
 
 describe('createClaims when the platform fails', () => {
-  // A claim whose reply was lost would be taken for a failure, or for a success that it may not be.
-  it('holds the claim whose reply was lost after the write took effect', async () => {
+  // A lost reply shows neither success nor failure: the node must read the log back.
+  it('grants a claim whose reply was lost after the write took effect', async () => {
     const { nodes, first, second, settle } = createPair()
     cutPeers(nodes)
     first.platform.setFault(faultFirstAppend('replyLost'))
@@ -130,7 +130,7 @@
     expect((await settle(second.claims.claim(KEY, HASH))).kind).toBe('claimedElsewhere')
   })
 
-  // A key would stay blocked by a claim that nobody sent.
+  // Otherwise the key would stay blocked by a claim whose request was never sent.
   it.each<CallFault>(['replyLost', 'late'])('frees the key of a claim that was refused as not run (%s)', async (fault) => {
     const { nodes, first, second, settle, run } = createPair()
     cutPeers(nodes)
@@ -148,7 +148,7 @@
     expect((await settle(second.claims.claim(KEY, HASH))).kind).toBe('granted')
   })
 
-  it('never grants a claim that arrives after it was given up', async () => {
+  it('never grants a claim that arrives in the log after it was given up', async () => {
     const { nodes, first, second, settle, run } = createPair()
     cutPeers(nodes)
     first.platform.setFault((call, name) => call === 'create' && isBatch(name) ? 'late' : call === 'read' && isBatch(name) ? 'refused' : 'none')
@@ -170,8 +170,8 @@
     expect((await settle(first.claims.claim(KEY, HASH))).kind).toBe('granted')
   })
 
-  // An order answered in an outage would be refused as not run when its caller asks again.
-  it('gives the answer of a request that ran here while the platform is down', async () => {
+  // Otherwise a request that was answered in an outage would be refused as not run when its caller retries.
+  it('returns the answer of a request that this node sent while the platform is down', async () => {
     const { nodes, first, settle } = createPair()
     const claimId = grantId(await settle(first.claims.claim(KEY, HASH)))
     for (const node of nodes) node.platform.setFault(() => 'refused')
@@ -179,7 +179,7 @@
     expect(readText(await settle(first.claims.claim(KEY, HASH)))).toBe('done')
   })
 
-  it('does not call a request not run that was sent from here with an unknown outcome', async () => {
+  it('does not report a request that this node sent with an unknown outcome as not run', async () => {
     const { nodes, first, settle } = createPair()
     const claimId = grantId(await settle(first.claims.claim(KEY, HASH)))
     first.claims.recordUnknown?.(KEY, claimId)
@@ -188,8 +188,8 @@
   })
 })
 
-describe('createClaims when nodes stop and wake', () => {
-  // A claim of a killed router, which may have been sent, would be granted again.
+describe('createClaims when nodes pause, resume or restart', () => {
+  // Otherwise the claim of a killed router, which may have sent its request, would be granted again.
   it('never grants a key that a node held before its restart', async () => {
     const { first, second, settle, restart } = createPair()
     await settle(first.claims.claim(KEY, HASH))
@@ -198,8 +198,8 @@
     expect((await settle(second.claims.claim(KEY, HASH))).kind).toBe('claimedElsewhere')
   })
 
-  // A paused claimant that wakes would send an order that another has sent.
-  it('does not grant to a node that wakes after another was granted the key', async () => {
+  // Otherwise a paused claimant that resumes would send a request that another node has sent.
+  it('does not grant a key to a node that resumes after another node was granted it', async () => {
     const { nodes, first, second, settle, run } = createPair()
     cutPeers(nodes)
     first.platform.setFault(faultFirstAppend('paused'))
@@ -211,8 +211,8 @@
     expect((await settle(sleeping)).kind).toBe('claimedElsewhere')
   })
 
-  // A paused claimant's write would succeed in a place that was pruned meanwhile.
-  it('does not grant to a node that wakes and writes below the pruned log', async () => {
+  // The write of a paused claimant succeeds in the place of a batch that was pruned meanwhile.
+  it('does not grant a key to a node that resumes and writes below the floor of the pruned log', async () => {
     const { nodes, platform, settle, run } = createPair({ pruneEvery: 5 })
     const pruner = selectShardWriter(nodes.map((node) => node.nodeId), 0)
     const second = nodes.find((node) => node.nodeId === pruner)!
