--- a/src/services/backendHealth/_lib/createLeavingMarkSet.ts
+++ b/src/services/backendHealth/_lib/createLeavingMarkSet.ts
@@ -1,6 +1,6 @@
 /**
- * The leaving marks of all backend servers, by source, and which of them go
- * out with the next heartbeat.
+ * Holds the leaving marks of all backend servers by source, and selects which of them are
+ * sent with the next heartbeat.
  */
 import { mergeLeavingMark } from '../../../decisions/mergeLeavingMark/index.js'
 import { observeLeaving } from '../../../decisions/observeLeaving/index.js'
@@ -12,14 +12,14 @@
   readonly observe: (observation: LeavingObservation) => void
   readonly merge: (mark: LeavingMark, now: number) => void
   readonly marks: () => readonly LeavingMark[]
-  /** The marks for the next heartbeat: those that changed lately, and one of the others by turns. */
+  /** Marks for the next heartbeat: those that changed recently or, when there are none, a single mark in rotation. */
   readonly takeNews: (now: number) => readonly LeavingMark[]
 }
 
 export type LeavingMarkSetOptions = {
-  /** Contradiction by the same source after which a mark is cleared, in milliseconds. */
+  /** Time for which its source must contradict a mark before it is cleared, in milliseconds. */
   readonly clearAfterMs: Readonly<Record<LeavingSource, number>>
-  /** How long a changed mark goes out with every heartbeat. */
+  /** How long a changed mark is sent with every heartbeat, in milliseconds. */
   readonly newsMs: number
 }
 
--- a/src/services/backendHealth/_lib/createProbes.ts
+++ b/src/services/backendHealth/_lib/createProbes.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the load reports of those backend servers that this node is to probe.
+ * Periodically reads the load reports of the backend servers that are assigned to this node.
  */
 import { selectProbers } from '../../../decisions/selectProbers/index.js'
 import type { ProbeBudget } from '../../../decisions/selectProbers/index.js'
@@ -16,7 +16,7 @@
 export type ProbesOptions = ProbeBudget & { readonly nodeId: string, readonly timeoutMs: number }
 
 export type Probes = {
-  /** Takes in a new set of routers or servers, and decides anew whom to probe. */
+  /** Recomputes which servers this node probes, after a change of the servers or routers. */
   readonly assign: (servers: readonly BackendServer[], routers: readonly Member[]) => void
   /** Whether this node is the first of the routers responsible for a server. */
   readonly isFirst: (backendServer: string) => boolean
@@ -69,7 +69,7 @@
       const before = assignments
       assignments = new Map(assigned.map((assignment) => [assignment.server.name, assignment]))
       for (const { server } of assigned) {
-        // Spread over the interval, so that servers are not all read at one moment.
+        // The first reads are spread over the interval, so that servers are not all read at the same time.
         if (!before.has(server.name) && !timers.has(server.name)) schedule(server.name, options.intervalMs * random.next())
       }
     },
--- a/src/services/backendHealth/index.ts
+++ b/src/services/backendHealth/index.ts
@@ -1,7 +1,7 @@
 /**
- * The health of backend servers: which of them may get new work. A server is
- * leaving once one source says so; one that fails is ejected for a while
- * and comes back slowly.
+ * Tracks the health of backend servers and decides which of them may get new requests. A
+ * server is leaving as soon as one source reports it; a server that fails is ejected for a
+ * while and returns with a slow start.
  */
 import { createLeavingMarkSet } from './_lib/createLeavingMarkSet.js'
 import { createProbes } from './_lib/createProbes.js'
@@ -37,7 +37,7 @@
   readonly probesPerSecond?: number
 }
 
-/** `publishesExcess` is for the load view: true where this node is the first prober of a server. */
+/** `publishesExcess` is for the load view: true when this node is the first prober of a server. */
 export type RunningBackendHealth = RunningService<BackendHealth> & { readonly publishesExcess: (backendServer: string) => boolean }
 
 export const DEFAULT_EJECTION_LIMITS: EjectionLimits = {
@@ -55,10 +55,10 @@
 const DEFAULT_PROBES_PER_SECOND = 3
 const TICK_MS = 250
 const NEWS_MS = 5000
-/** The VM list lags by seconds; a server's own report is read each interval. */
+/** Milliseconds after which a source that contradicts its own leaving mark clears it. The VM list lags by seconds; a server's own report is read in each interval. */
 const CLEAR_AFTER_MS: Readonly<Record<LeavingSource, number>> = { vmList: 30_000, backendServer: 5000 }
 
-/** What a failed read says of the server. Only its time-out cancels a read, so that is silence too. */
+/** Ejection event of each kind of failed read. Only the time-out cancels a read, so a cancelled read counts as unanswered. */
 const PROBE_EVENTS: Readonly<Record<BackendError['kind'], EjectionEvent>> = { notSent: 'notSent', noAnswer: 'probeUnanswered', cancelled: 'probeUnanswered' }
 
 const isInForce = (stop: PlannedStop, wallTime: number): boolean =>
@@ -70,7 +70,7 @@
 /**
  * Creates the health service of one node.
  *
- * @param dependencies - Clock, random source, backend client and the services that it draws on.
+ * @param dependencies - Clock, random source, backend client and the services that it uses.
  * @param options - Settings and limits; times in milliseconds.
  * @returns The service for the kernel, which probes from its start to its stop.
  *
@@ -161,7 +161,7 @@
     const byAddress = new Map(vms.filter((vm) => vm.kind === 'backendServer').map((vm) => [vm.address, vm]))
     for (const server of listServers()) {
       const vm = byAddress.get(server.url)
-      // A server that is not on the lagging list may be new: its absence says nothing.
+      // The VM list lags, so a server that is missing on it may be new: that is no observation.
       if (vm !== undefined) observe(server.name, 'vmList', vm.state === 'leaving')
     }
   }
@@ -175,7 +175,7 @@
 
   const markAssignmentOld = (): void => { isAssignmentOld = true }
 
-  // A burst of changes, as when a zone is lost, then costs one assignment and not one for each.
+  // Assigned once in each tick: a burst of changes, as when a zone is lost, costs one assignment in all.
   const assignProbes = (): void => {
     if (!isAssignmentOld) return
     isAssignmentOld = false
--- a/src/services/backendHealth/test.ts
+++ b/src/services/backendHealth/test.ts
@@ -56,7 +56,7 @@
 
 type Node = ReturnType<typeof createNode>
 
-/** Passes the marks of one node's next heartbeat on to another. */
+/** Delivers one node's next heartbeat, with its leaving marks, to another. */
 const gossip = (from: Node, to: Node): void =>
   to.exchange.deliver({ kind: 'heartbeat', member: MEMBER, rumours: [], ...from.exchange.collect(MEMBER) })
 
@@ -71,7 +71,7 @@
     { source: "the server's own report", act: (node) => node.report('engine-0', { leaving: true }) },
     { source: "the server's documented refusal", act: (node) => node.health.markLeaving('engine-0') },
     { source: 'a mark that a peer passed on', act: (node) => node.health.mergeLeavingMarks([{ backendServer: 'engine-0', epoch: 1, leaving: true }]) }
-  ])('gives a server no new work within seconds when $source says that it leaves', async ({ act }) => {
+  ])('sends a server no new requests within seconds when $source reports that it is leaving', async ({ act }) => {
     const node = createNode()
     act(node)
     await node.clock.advanceAndSettle(1500)
@@ -98,8 +98,8 @@
     expect(states).toEqual(['live', 'leaving', 'live'])
   })
 
-  // A server that leaves in a cut zone would go on getting work there.
-  it('learns of a leaving server in a zone that is cut off from a router there', async () => {
+  // Otherwise a server that is leaving in a partitioned zone would still get requests from other zones.
+  it('receives the leaving mark of a server in a partitioned zone from a router there', async () => {
     const [prober, other] = [createNode(), createNode()]
     prober.report('engine-0', { leaving: true })
     await prober.clock.advanceAndSettle(1500)
@@ -107,8 +107,8 @@
     expect(other.stateOf('engine-0')).toBe('leaving')
   })
 
-  // A lagging VM list would undo a leaving mark.
-  it('is not misled by a VM list that lags', async () => {
+  // Otherwise a lagging VM list would clear a leaving mark.
+  it('keeps a leaving mark that a lagging VM list contradicts', async () => {
     const [fresh, lagging] = [createNode(), createNode()]
     fresh.readVms('engine-0', 'leaving')
     gossip(fresh, lagging)
@@ -121,7 +121,7 @@
     expect(fresh.stateOf('engine-0')).toBe('leaving')
   })
 
-  it('takes a server back when the source that marked it says for long that it stays', async () => {
+  it('clears a leaving mark when its source contradicts it for long enough', async () => {
     const [first, second] = [createNode(), createNode()]
     first.report('engine-0', { leaving: true })
     await first.clock.advanceAndSettle(1500)
@@ -140,7 +140,7 @@
     expect(node.stateOf('engine-0')).toBe('leaving')
   })
 
-  it('ejects a server that fails, and brings it back slowly', async () => {
+  it('ejects a server that fails, and returns it with a slow start', async () => {
     const node = createNode()
     failTimes(node, 'engine-0', 3)
     expect(node.stateOf('engine-0')).toBe('ejected')
@@ -150,22 +150,22 @@
     expect(node.stateOf('engine-0')).toBe('live')
   })
 
-  // With all servers of a service out, requests that might succeed would be refused.
-  it('never ejects more than the set share of a service', () => {
+  // With all servers of a service ejected, requests that might succeed would be refused.
+  it('never ejects more than the maximum share of a service', () => {
     const node = createNode()
     for (const name of SERVERS) failTimes(node, name, 5)
     expect(node.health.statuses().map(({ state }) => state)).toEqual(['ejected', 'ejected', 'live', 'live'])
   })
 
-  // Requests would wait at a hung server for the whole time-out.
-  it('ejects a server that takes connections and answers no probe', async () => {
+  // Otherwise each request at a hung server would wait for its full time-out.
+  it('ejects a server that accepts connections and answers no probe', async () => {
     const node = createNode()
     node.silence('engine-0')
     await node.clock.advanceAndSettle(6000)
     expect(node.stateOf('engine-0')).toBe('ejected')
   })
 
-  it('counts servers out that cannot be reached, without an attempt', async () => {
+  it('marks servers as unreachable by probes alone, without a failed request', async () => {
     const node = createNode()
     for (const name of SERVERS.slice(1)) node.refuse(name)
     await node.clock.advanceAndSettle(4000)
--- a/src/services/instanceHealth/index.ts
+++ b/src/services/instanceHealth/index.ts
@@ -1,6 +1,6 @@
 /**
- * What this node knows of each backend server from its own exchanges: its
- * condition, and how long it has been silent while requests wait there.
+ * Tracks the health of each backend server as seen in this node's own exchanges: its
+ * condition, and how long it has sent nothing while requests wait there.
  */
 import { advanceCondition, initialCondition } from '../../decisions/advanceCondition/index.js'
 import { formatInstanceKey } from '../../decisions/formatInstanceKey/index.js'
@@ -9,29 +9,33 @@
 import type { BackendInstance, Clock, InstanceClient, Logger, Timer } from '../../types/index.js'
 
 export type InstanceHealth = {
+  /** A request was sent to the server. */
   readonly began: (instance: BackendInstance) => void
+  /** A request at the server has ended, whatever its outcome. */
   readonly ended: (instance: BackendInstance) => void
-  /** Bytes came from it, on any exchange. */
+  /** Bytes arrived from the server, on any exchange. */
   readonly heard: (instance: BackendInstance) => void
   readonly record: (instance: BackendInstance, event: ConditionEvent) => void
+  /** Whether the server or its availability zone is suspended: it gets no requests while others are left. */
   readonly isHeld: (instance: BackendInstance) => boolean
-  /** Milliseconds since it was last heard, while a request waits there; 0 when none does. */
+  /** Milliseconds since bytes last arrived from the server, while a request waits there; 0 when none does. */
   readonly silentMs: (instance: BackendInstance) => number
-  /** Gives a function that tells how many times dearer a request is at a server than at the median of `peers`; 1 or more. */
+  /** Returns a function that computes the cost of a request at a server as a multiple of the median of `peers`; at least 1. */
   readonly compareWith: (peers: readonly BackendInstance[]) => (instance: BackendInstance) => number
+  /** Drops the state of all servers but those with the given keys. */
   readonly retain: (live: ReadonlySet<string>) => void
 }
 
 type Contact = { open: number, quietSince: number }
 
-/** Time between two looks at held servers whose hold is over, in milliseconds. */
+/** Interval at which suspended servers whose suspension has ended are probed, in milliseconds. */
 const PROBE_TICK_MS = 200
-/** Servers of one zone that are out of reach at once when the zone itself is: one alone may be down. */
+/** Number of unreachable servers at which the whole availability zone counts as unreachable: a single one may just be down. */
 const SERVERS_OF_CUT_ZONE = 2
-/** Slowness and errors beside the median's that are left alone: answers vary by as much. */
+/** Slowness, and error share above the median, that add no cost: normal answers vary by as much. */
 const TOLERATED_SLOWNESS = 1.6
 const TOLERATED_ERROR_SHARE = 0.12
-/** How much an error share of 1 weighs against slowness: a failed request is lost or sent twice. */
+/** Cost of an error share of 1, in units of slowness: a failed request is lost or sent twice. */
 const ERROR_WEIGHT = 12
 
 const median = (values: readonly number[]): number => {
@@ -39,19 +43,19 @@
   return sorted[sorted.length >> 1] ?? 0
 }
 
-/** What is known of the way to one availability zone. */
+/** Reachability of one availability zone. */
 type ZoneContact = { heardAt: number, readonly unreachableAt: Map<string, number> }
 
 /**
- * Creates the record of this node.
+ * Creates the health service of one node.
  *
- * A cut zone shows as several servers out of reach with nothing heard from the
- * others; then all its servers are held at once, rather than each being found
- * out by a request that waits there. Held servers are tried by connections
- * that carry no request.
+ * When several servers of a zone are unreachable and nothing arrives from the others, the
+ * zone counts as partitioned. Then all its servers are suspended at once; otherwise a
+ * request would have to time out at each of them. Suspended servers are probed with
+ * connections that carry no request.
  *
- * @param dependencies - Clock, log, and how to try a connection.
- * @returns The service for the kernel; its record is empty.
+ * @param dependencies - Clock, logger, and a client that probes connections.
+ * @returns The service for the kernel, without any observations yet.
  *
  * @example
  * createInstanceHealth({ clock, logger, client }).api.isHeld(instance) // => false
--- a/src/services/instanceRegistry/_lib/createChangeLog.test.ts
+++ b/src/services/instanceRegistry/_lib/createChangeLog.test.ts
@@ -20,15 +20,15 @@
 
   test.each([
     ['no position', undefined],
-    ['a position of another life of the list', { origin: 2, sequence: 0 }],
-    ['a position ahead of its own', { origin: 1, sequence: 9 }]
-  ])('can\'t tell for %s', (_name, position) => {
+    ['a position of another log', { origin: 2, sequence: 0 }],
+    ['a position ahead of its end', { origin: 1, sequence: 9 }]
+  ])('returns undefined for %s', (_name, position) => {
     const log = createChangeLog(1)
     log.note('engine-1')
     expect(log.listSince(position)).toBeUndefined()
   })
 
-  test('can\'t tell for a position that it doesn\'t reach back to', () => {
+  test('returns undefined for a position that it does not reach back to', () => {
     const log = createChangeLog(1)
     const position = log.position()
     for (let change = 0; change <= 2_000; change++) log.note(`engine-${change}`)
--- a/src/services/instanceRegistry/_lib/createChangeLog.ts
+++ b/src/services/instanceRegistry/_lib/createChangeLog.ts
@@ -1,6 +1,6 @@
 /**
- * Which backend servers changed lately, by name, so that a peer can be told
- * only what it lacks: at six hundred servers the whole list is some seventy
+ * Logs the names of backend servers that changed recently, so that a peer is sent only the
+ * changes that it lacks: with six hundred servers the complete list is about seventy
  * kilobytes, and a release changes several entries a second.
  */
 import type { ChangePosition } from '../../../types/index.js'
@@ -8,14 +8,14 @@
 export type ChangeLog = {
   readonly note: (name: string) => void
   readonly position: () => ChangePosition
-  /** Names that changed since then, or `undefined` when the log doesn't reach back so far. */
+  /** Returns the names that changed since the position, or `undefined` when the log does not reach back that far. */
   readonly listSince: (position: ChangePosition | undefined) => ReadonlySet<string> | undefined
 }
 
-/** A release that replaces six hundred servers makes some eighteen hundred changes; who lacks more gets the whole list. */
+/** A release that replaces six hundred servers makes about eighteen hundred changes; a peer that lacks more gets the complete list. */
 const CHANGES_KEPT = 2_000
 
-/** Creates an empty log; `origin` tells this life of the list from others. */
+/** Creates an empty log; `origin` distinguishes it from logs of earlier runs and other nodes. */
 export const createChangeLog = (origin: number): ChangeLog => {
   const names: string[] = []
   let sequence = 0
--- a/src/services/instanceRegistry/_lib/createRemovals.ts
+++ b/src/services/instanceRegistry/_lib/createRemovals.ts
@@ -1,27 +1,27 @@
 /**
- * Backend servers that were taken out of the list, and as of which revision of
- * the source. A peer that is cut off goes on telling of a server that left; without
- * this memory its word brings the server back, and requests reach it when it has
- * drained.
+ * Records which backend servers were removed from the list, and at which revision of the
+ * source. A partitioned peer still reports a server that was removed; without this record
+ * its report would add the server again, and requests would reach a server that has
+ * already drained.
  */
 import type { BackendInstance, Clock } from '../../../types/index.js'
 
 export type Removals = {
   readonly note: (instance: BackendInstance, revision: number) => void
-  /** Whether this start of the server was removed at the given revision or a later one; its entry's return has a higher one. */
+  /** Whether this incarnation of the server was removed at the given revision or a later one; an entry that was added again has a higher revision. */
   readonly isAsNewAs: (instance: BackendInstance, revision: number) => boolean
-  /** Servers that still serve, as far as is known. */
+  /** Lists the removed servers that presumably still serve, latest first. */
   readonly listDraining: () => readonly BackendInstance[]
-  /** The server no longer has its address. */
+  /** The server no longer exists: another one has its address. */
   readonly markGone: (id: string) => void
 }
 
 type Removal = { readonly instance: BackendInstance, readonly revision: number, readonly at: number, isGone: boolean }
 
-/** As many as the log of changes reaches back: older news of peers come as whole lists. */
+/** Equal to the length of the change log: a peer that lags more gets complete lists. */
 const REMOVALS_KEPT = 2_000
 
-/** Creates the memory; `drainMs` is how long a server serves on after its entry was removed. */
+/** Creates the record; `drainMs` is how long a server still serves after its entry was removed, in milliseconds. */
 export const createRemovals = (clock: Pick<Clock, 'now'>, drainMs: number): Removals => {
   const removals = new Map<string, Removal>()
 
--- a/src/services/instanceRegistry/_lib/createWarmUps.test.ts
+++ b/src/services/instanceRegistry/_lib/createWarmUps.test.ts
@@ -12,43 +12,43 @@
 }
 
 describe('createWarmUps', () => {
-  test('counts down from when the entry was heard of', () => {
+  test('counts down from when the entry was received', () => {
     const { clock, warmUps } = start()
     warmUps.note(createServer(3_000), 'change')
     clock.advance(1_000)
     expect(warmUps.leftMs(createServer(0))).toBe(2_000)
   })
-  test('takes a new start for cold anew', () => {
+  test('warms up again after a restart of the server', () => {
     const { clock, warmUps } = start()
     warmUps.note(createServer(3_000), 'change')
     clock.advance(3_000)
     warmUps.note(createServer(3_000, 2), 'list')
     expect([warmUps.leftMs(createServer(0)), warmUps.leftMs(createServer(0, 2))]).toEqual([0, 3_000])
   })
-  // A list read anew repeats entries of long ago: all servers would be taken for cold after each outage of the store.
-  test('does not begin again with a list that repeats an entry', () => {
+  // A list that is read again repeats old entries: all servers would count as cold after each outage of the store.
+  test('does not restart with a list that repeats an entry', () => {
     const { clock, warmUps } = start()
     warmUps.note(createServer(3_000), 'change')
     clock.advance(2_500)
     expect(warmUps.note(createServer(3_000), 'list')).toBe(false)
     expect(warmUps.leftMs(createServer(0))).toBe(500)
   })
-  // A server that turns cold in mid-day writes the same entry as after its start.
-  test('begins again with a change that says the same', () => {
+  // A server whose cache turns cold later writes the same entry as after its start.
+  test('restarts with a change to the same entry', () => {
     const { clock, warmUps } = start()
     warmUps.note(createServer(3_000), 'change')
     clock.advance(10_000)
     expect(warmUps.note(createServer(3_000), 'change')).toBe(true)
     expect(warmUps.leftMs(createServer(0))).toBe(3_000)
   })
-  // An older copy of an entry that comes late would end the warm-up too soon.
-  test('is not shortened by an entry that says less', () => {
+  // Otherwise a stale copy of an entry that arrives late would end the warm-up too soon.
+  test('is not shortened by an entry with less warm-up', () => {
     const { warmUps } = start()
     warmUps.note(createServer(3_000), 'change')
     warmUps.note(createServer(0), 'peer')
     expect(warmUps.leftMs(createServer(0))).toBe(3_000)
   })
-  test('takes a peer\'s word that is some milliseconds late for the same warm-up', () => {
+  test('treats an entry from a peer that is some milliseconds late as the same warm-up', () => {
     const { clock, warmUps } = start()
     warmUps.note(createServer(3_000), 'change')
     clock.advance(100)
--- a/src/services/instanceRegistry/_lib/createWarmUps.ts
+++ b/src/services/instanceRegistry/_lib/createWarmUps.ts
@@ -1,24 +1,25 @@
 /**
- * Until when backend servers that have just started warm up. The source tells
- * how much longer that was when an entry was written; the node counts from when
- * it heard of it.
+ * Tracks until when recently started backend servers warm up. An entry states the warm-up
+ * time that remained when it was written; the node counts down from when it received the
+ * entry.
  */
 import { formatInstanceKey } from '../../../decisions/formatInstanceKey/index.js'
 import type { BackendInstance, Clock } from '../../../types/index.js'
 
-/** Where word of an entry came from: a change as it was made, a list that may repeat an old entry, or a peer. */
+/** How an entry was received: as a change when it was made, in a list that may repeat an old entry, or from a peer. */
 export type EntryOrigin = 'change' | 'list' | 'peer'
 
 export type WarmUps = {
-  /** Notes what an entry says; returns whether its warm-up ends later than was known. */
+  /** Records the warm-up of an entry; returns whether it ends later than recorded before. */
   readonly note: (instance: BackendInstance, origin: EntryOrigin) => boolean
+  /** Remaining warm-up in milliseconds; 0 when there is none. */
   readonly leftMs: (instance: Pick<BackendInstance, 'id' | 'incarnation'>) => number
   readonly forget: (instance: BackendInstance) => void
 }
 
 type WarmUp = { readonly toldMs: number, readonly until: number }
 
-/** A peer's word arrives some milliseconds late; a warm-up that ends so little later is the same one. */
+/** Entries from peers arrive some milliseconds late; a warm-up that ends later by no more than this is the same one. */
 const TOLERANCE_MS = 250
 
 export const createWarmUps = (clock: Pick<Clock, 'now'>): WarmUps => {
@@ -32,7 +33,7 @@
       const knownUntil = known?.until ?? -Infinity
       const until = warmUpMs > 0 ? clock.now() + warmUpMs : -Infinity
       const isLater = until > knownUntil + TOLERANCE_MS
-      // Never shortened: an older copy of an entry may come after a newer one.
+      // Never shortened: a stale copy of an entry may arrive after a newer one.
       warmUps.set(key, { toldMs: warmUpMs, until: isLater ? until : knownUntil })
       return isLater
     },
--- a/src/services/instanceRegistry/index.ts
+++ b/src/services/instanceRegistry/index.ts
@@ -1,7 +1,7 @@
 /**
- * The backend servers that a gateway node knows: a list read from its source
- * and kept up by a watch. The list is kept while the source is away; entries
- * that are missing when it comes back get a moment to register again.
+ * Holds the list of backend servers of a gateway node: read from the source and updated by
+ * a watch. The list stays in use while the source is unreachable; servers whose entries are
+ * missing when the source is reachable again get a moment to register.
  */
 import { isDeepStrictEqual } from 'node:util'
 import { createChangeLog } from './_lib/createChangeLog.js'
@@ -21,16 +21,16 @@
 }
 
 export type InstanceRegistryOptions = SourceFollowerOptions & {
-  /** How long one watch waits in milliseconds; a silent connection is found that much later. */
+  /** How long one watch waits, in milliseconds; a dead connection is detected only after that time. */
   readonly watchWaitMs: number
-  /** How long a backend server serves on after its entry was removed, in milliseconds; 0 by default. */
+  /** How long a backend server still serves after its entry was removed, in milliseconds; 0 by default. */
   readonly drainMs?: number
 }
 
 export type RunningInstanceRegistry = RunningService<InstanceRegistry> & {
-  /** Takes a peer's list or changes, known up to its revision of the source, which it last reached `ageMs` ago. */
+  /** Applies a peer's list or changes, which are as of `revision` of the source; the peer last reached the source `ageMs` milliseconds ago. */
   readonly learn: (news: InstanceNews, revision: number, ageMs: number) => void
-  /** What changed here since a position that a peer holds; nothing when it holds none and knows the same revision. */
+  /** Returns the changes since the position that a peer holds; empty when it holds no usable position and has the same revision. */
   readonly newsSince: (position: ChangePosition | undefined, revision: number) => InstanceNews
   readonly position: () => ChangePosition
   readonly isSourceReachable: () => boolean
@@ -38,7 +38,7 @@
   readonly onNeed: (listener: () => void) => void
 }
 
-/** Entries that lapsed in an outage are back within two seconds of its end; longer than that they are gone. */
+/** Servers whose entries expired in an outage of the source register again within two seconds of its end; after that time a missing one is removed. In milliseconds. */
 const REAPPEAR_MS = 2_000
 const PAGES_AT_MOST = 64
 
@@ -56,7 +56,7 @@
 export const createInstanceRegistry = (dependencies: InstanceRegistryDependencies, options: InstanceRegistryOptions): RunningInstanceRegistry => {
   const { clock, source, logger } = dependencies
   const instances = new Map<string, BackendInstance>()
-  /** Highest incarnation known to be over, by id: an older copy of an entry can't bring it back. */
+  /** Highest incarnation known to have ended, by id: a stale copy of its entry can't add it again. */
   const goneIncarnations = new Map<string, number>()
   const missingSince = new Map<string, number>()
   const removals = createRemovals(clock, options.drainMs ?? 0)
@@ -91,7 +91,7 @@
     logger.info('backend server removed', { backendServer: name, service: instance.service, reason, revision })
   }
 
-  /** Whether two copies of an entry say the same, but for the warm-up, which runs down. */
+  /** Whether two copies of an entry are equal apart from the remaining warm-up, which decreases with time. */
   const isSameEntry = (one: BackendInstance | undefined, other: BackendInstance): boolean =>
     one !== undefined && isDeepStrictEqual({ ...one, warmUpMs: 0 }, { ...other, warmUpMs: 0 })
 
@@ -105,7 +105,7 @@
     missingSince.delete(name)
     if (instance.incarnation <= (goneIncarnations.get(name) ?? -Infinity)) return
     if (known !== undefined && instance.incarnation < known.incarnation) return
-    // A leaving mark stays until the server starts anew: an older copy of its entry still says ready.
+    // A server stays leaving until it restarts: a stale copy of its entry may still show it as ready.
     const isLeaving = instance.isLeaving || (known?.isLeaving === true && known.incarnation === instance.incarnation)
     const next = { ...instance, isLeaving }
     if (known !== undefined && known.incarnation !== next.incarnation) warmUps.forget(known)
@@ -116,7 +116,7 @@
     else if (isLeaving && !known.isLeaving) logger.info('backend server leaving', { backendServer: name, service: instance.service, revision })
   }
 
-  /** Removes at once, or after a moment when the source has only just come back. */
+  /** Removes a server whose entry is missing: at once, or after `REAPPEAR_MS` when the source was just reached again. */
   const miss = (name: string): void => {
     if (!instances.has(name)) return
     if (instances.get(name)?.isLeaving === true || clock.now() - returnedAt > REAPPEAR_MS) return remove(name, 'entry removed')
@@ -146,7 +146,7 @@
       const result = await source.list(after)
       if (!result.ok) return result
       entries.push(...result.value.entries)
-      // Changes between two pages are seen again by a watch from the first page's revision.
+      // The watch starts from the first page's revision, so changes between two pages are not lost.
       listedAt ??= result.value.revision
       after = result.value.continueAfter
       if (after === undefined) break
@@ -180,7 +180,7 @@
     onHistoryGone: () => logger.info('backend server history gone', { revision })
   }, options)
 
-  /** As a peer is to hear of it: the warm-up counts from now. */
+  /** The entry as it is sent to peers, with the remaining warm-up as of now. */
   const toNews = (instance: BackendInstance): BackendInstance =>
     instance.warmUpMs === 0 ? instance : { ...instance, warmUpMs: Math.round(warmUps.leftMs(instance)) }
 
@@ -220,7 +220,7 @@
     newsSince: (position, knownRevision) => {
       const names = changes.listSince(position)
       const isWhole = names === undefined && knownRevision < revision
-      // A server that is missing from the source is kept here for a moment: that is no news.
+      // A server whose entry is missing stays in the list for a moment; peers must not learn of it as present.
       const changed = [...instances.values()].filter(({ id }) => isWhole || (names?.has(id) === true && !missingSince.has(id)))
       const removed = [...names ?? []].filter((name) => !instances.has(name))
       return { isWhole, instances: changed.map(toNews), removed, position: changes.position() }
--- a/src/services/instanceRegistry/test.ts
+++ b/src/services/instanceRegistry/test.ts
@@ -13,7 +13,7 @@
 const createNews = (changes: Partial<InstanceNews>): InstanceNews =>
   ({ isWhole: false, instances: [], removed: [], position: { origin: 1, sequence: 1 }, ...changes })
 
-/** A source with one list that can change, or be away. */
+/** A source with one list that can change or become unavailable. */
 const createSource = (clock: ReturnType<typeof createManualClock>) => {
   let servers: readonly BackendInstance[] = []
   let revision = 1
@@ -52,31 +52,31 @@
 
 const listIds = ({ api }: RunningInstanceRegistry): readonly string[] => api.list('engines').map(({ id }) => id)
 
-describe('what peers tell', () => {
-  // A peer with an older list brought back a server that was removed, past its drain time.
-  test('of an older list does not bring back a server that was removed', async () => {
+describe('an update from a peer', () => {
+  // A peer with a stale list added a server again that had been removed, after its drain time.
+  test('of an older revision does not add a removed server again', async () => {
     const { registry } = await startRegistry()
     registry.learn(createNews({ removed: ['engine-2'] }), 10, 0)
     registry.learn(createNews({ instances: [createServer('engine-2')] }), 9, 0)
     expect(listIds(registry)).toEqual(['engine-1'])
   })
 
-  test('of a newer list brings it back', async () => {
+  test('of a newer revision adds it again', async () => {
     const { registry } = await startRegistry()
     registry.learn(createNews({ removed: ['engine-2'] }), 10, 0)
     registry.learn(createNews({ instances: [createServer('engine-2')] }), 11, 0)
     expect(listIds(registry)).toEqual(['engine-1', 'engine-2'])
   })
 
-  test('of a new start brings it back, however old the list', async () => {
+  test('with a newer incarnation adds it again, however old the revision', async () => {
     const { registry } = await startRegistry()
     registry.learn(createNews({ removed: ['engine-2'] }), 10, 0)
     registry.learn(createNews({ instances: [createServer('engine-2', { incarnation: 2 })] }), 9, 0)
     expect(listIds(registry)).toEqual(['engine-1', 'engine-2'])
   })
 
-  // A server that is kept only in case its entry lapsed was told to a peer as one that is there.
-  test('leaves out servers that are kept only until their entries may be back', async () => {
+  // A server that was kept only in case its entry had expired in an outage was reported to a peer as present.
+  test('omits servers that are kept only until their entries may reappear', async () => {
     const { clock, remote, registry } = await startRegistry()
     const position = registry.position()
     remote.setAway(true)
@@ -93,7 +93,7 @@
 })
 
 describe('a server that was removed', () => {
-  // Half of the servers that leave only drop their entry and serve on for a while.
+  // Half of the servers that leave only remove their entry and still serve for a while.
   test('can be copied from for its drain time', async () => {
     const { clock, registry } = await startRegistry()
     registry.learn(createNews({ removed: ['engine-2'] }), 10, 0)
@@ -102,7 +102,7 @@
     expect(registry.api.removedLately()).toEqual([])
   })
 
-  test('can not be copied from when another one has its address', async () => {
+  test('can\'t be copied from when another server has its address', async () => {
     const { registry } = await startRegistry()
     registry.api.markGone(createServer('engine-2'), 'another backend server has its address')
     expect(registry.api.removedLately()).toEqual([])
--- a/src/services/warmUp/index.ts
+++ b/src/services/warmUp/index.ts
@@ -1,8 +1,8 @@
 /**
- * How much this node may send to backend servers that warm up. Which ones do
- * follows from their entries and from drains that ended; the node's part follows
- * from its rank among all members that it ever heard of, dead ones included: a
- * node that is merely cut off goes on spending its part.
+ * Limits what this node sends to backend servers that are warming up. Whether a server is
+ * warming up follows from its entry and from drains that ended. The share of the node
+ * follows from its rank among all members that it ever knew, dead ones included: a node
+ * that is only partitioned from the others still uses its share.
  */
 import { formatInstanceKey } from '../../decisions/formatInstanceKey/index.js'
 import { rankMembers } from '../../decisions/rankMembers/index.js'
@@ -11,11 +11,11 @@
 import type { BackendInstance, Clock, GatewayConfigurationHolder, GatewayService, InstanceRegistry, Membership, ZoneDrains } from '../../types/index.js'
 
 export type WarmUp = {
-  /** Milliseconds for which the server is taken to warm up still; 0 when it bears its full load. */
+  /** Remaining warm-up of the server in milliseconds; 0 when it can take its full load. */
   readonly leftMs: (instance: BackendInstance) => number
-  /** Whether this node may not send to it now, because it warms up. */
+  /** Whether the server is warming up and this node's share of its rate is used up. */
   readonly isAtRate: (instance: BackendInstance) => boolean
-  /** Counts a request that goes to it now. */
+  /** Counts a request that is sent to the server now. */
   readonly noteSend: (instance: BackendInstance) => void
 }
 
@@ -28,25 +28,26 @@
 }
 
 export type WarmUpOptions = {
-  /** Multiple of a warming server's rate that it may get in one second, and requests beyond it. */
+  /** Multiple of a warming server's rate that it may get in one second. */
   readonly excess: number
+  /** Requests that it may get in one second beyond that. */
   readonly slack: number
-  /** Whether the node should know other nodes: one alone that should is cut off, and not to be relied on. */
+  /** Whether the fleet has other nodes. A node that should know peers and knows none is partitioned, and its rank is wrong. */
   readonly hasPeers: () => boolean
 }
 
-/** A second, and a tenth for sends that wait for the processor between their count and their way. */
+/** Window in which sends are counted, in milliseconds: a second, and a tenth more because a send may wait for the CPU after it was counted. */
 const WINDOW_MS = 1_100
-/** A node that has just started may have been another's equal before, with its part spent, and knows few members yet. */
+/** Time after the start before this node uses its share, in milliseconds: it may have used its share just before a restart, and knows few members yet. */
 const SETTLED_AFTER_MS = 3_000
-/** Servers of a zone whose drain has ended may be cold; their entries say so a heartbeat later. */
+/** Servers of a zone whose drain has ended may be cold; their entries show it a heartbeat later. In milliseconds. */
 const ENTRY_DELAY_MS = 1_500
 
 /**
  * Creates the service.
  *
- * @param dependencies - What tells of servers, members and drains.
- * @param options - The bound beside the rate that the configuration gives.
+ * @param dependencies - Clock, and the state of servers, configuration, members and drains.
+ * @param options - Bounds on the rate that the configuration gives.
  * @returns The service for the kernel.
  *
  * @example
@@ -56,7 +57,7 @@
   const { clock, registry, configuration, membership, zoneDrains } = dependencies
   const startedAt = clock.now()
   const sendsByKey = new Map<string, number[]>()
-  /** Servers for which this node is among the first; made anew when the members change. */
+  /** Whether this node ranks high enough to send to a server, by instance key; reset when the members change. */
   let responsibleFor = new Map<string, boolean>()
 
   membership.onChange(() => { responsibleFor = new Map() })
--- a/src/services/warmUp/test.ts
+++ b/src/services/warmUp/test.ts
@@ -1,4 +1,4 @@
-/** What all nodes together send to one warming server, by seeded fleets whose nodes see different members. */
+/** Checks the requests of all nodes to one warming server, in simulated fleets whose nodes see different members. */
 import { describe, expect, test } from 'vitest'
 import { createSeededRandom } from '../../adapters/seededRandom/index.js'
 import { createWarmUp } from './index.js'
@@ -10,7 +10,7 @@
 const LIMIT = { excess: 1.5, slack: 5 }
 const BOUND = RATE * LIMIT.excess + LIMIT.slack
 const WARM_UP_MS = 3_000
-/** By then every node has been up long enough to count on its view. */
+/** By then every node has been up long enough to use its share. */
 const SETTLED_MS = 5_000
 const PLAYED_MS = 8_000
 const STEP_MS = 20
@@ -50,7 +50,7 @@
   }
 }
 
-/** Most sends in any one second, and sends a second, while nodes freeze for a while and wake with all their requests. */
+/** Returns the maximum of sends in any one second and the mean rate, while nodes freeze for a while and resume with all their requests. */
 const playFleet = (size: number, seed: number, view: View): { readonly most: number, readonly perSecond: number } => {
   const random = createSeededRandom(seed).next
   const clock = createManualClock()
@@ -71,9 +71,9 @@
   return { most, perSecond: sends.length / (PLAYED_MS / 1_000) }
 }
 
-// A server that has just started is the home of many prompts: every node of the fleet sends at once, and it crashes.
+// Load pattern: many prompts are placed on a recently started server by rendezvous hashing; when every node sends at once, it crashes.
 describe.each(Object.entries(VIEWS))('where %s', (_name, view) => {
-  test.each([3, 9, 70, 200, 360])('%i nodes keep to the bound of a warming server', (size) => {
+  test.each([3, 9, 70, 200, 360])('%i nodes stay within the bound of a warming server', (size) => {
     for (const seed of [1, 2, 3]) expect(playFleet(size, seed, view).most).toBeLessThanOrEqual(BOUND)
   })
 })
@@ -86,7 +86,7 @@
   const members = Array.from({ length: 2 }, (_, index) => createMember(index))
   const [self, other] = members as [Member, Member]
 
-  // A node killed and started again may have spent its part a moment before.
+  // A node that was killed and restarted may have used its share a moment before.
   test('that has just started sends nothing to a warming server', () => {
     const clock = createManualClock()
     const warmUp = createNode({ clock, self, members })
@@ -95,15 +95,15 @@
     expect(warmUp.isAtRate(INSTANCE)).toBe(false)
   })
 
-  // A node that is cut off from its start ranks itself first for everything.
-  test('that knows nobody sends nothing to a warming server', () => {
+  // A node that is partitioned since its start ranks itself first for every server.
+  test('that knows no other member sends nothing to a warming server', () => {
     const clock = createManualClock()
     const warmUp = createNode({ clock, self, members: [self] })
     clock.advance(SETTLED_MS)
     expect(warmUp.isAtRate(INSTANCE)).toBe(true)
   })
 
-  test('that is held dead still counts, and spends its part alone', () => {
+  test('that is considered dead still counts as a member and keeps its share', () => {
     const clock = createManualClock()
     const warmUp = createNode({ clock, self, members: [self, { ...other, state: 'dead' }] })
     clock.advance(SETTLED_MS)
@@ -111,7 +111,7 @@
     expect(warmUp.isAtRate(INSTANCE)).toBe(true)
   })
 
-  test('has its part again a second later', () => {
+  test('has its share again a second later', () => {
     const clock = createManualClock()
     const warmUp = createNode({ clock, self, members })
     clock.advance(SETTLED_MS)
@@ -120,8 +120,8 @@
     expect(warmUp.isAtRate(INSTANCE)).toBe(false)
   })
 
-  // The servers of a zone whose drain ends may be cold, and their entries say so a heartbeat later.
-  test('takes the servers of a zone for warming after its drain has ended', () => {
+  // The servers of a zone whose drain ends may be cold, and their entries show it a heartbeat later.
+  test('treats the servers of a zone as warming after its drain has ended', () => {
     const clock = createManualClock()
     const warmUp = createNode({ clock, self, members, registry: { warmUpLeftMs: () => 0, onChange: () => {}, all: () => [INSTANCE] }, zoneDrains: { endedAgoMs: () => clock.now() } })
     expect(warmUp.leftMs(INSTANCE)).toBeGreaterThanOrEqual(WARM_UP_MS)
@@ -129,7 +129,7 @@
     expect(warmUp.leftMs(INSTANCE)).toBe(0)
   })
 
-  test('takes no server for warming whose service bears its full load at once', () => {
+  test('treats no server as warming whose service has no warm-up', () => {
     const warmUp = createNode({ clock: createManualClock(), self, members })
     expect(warmUp.isAtRate({ ...INSTANCE, service: 'plain' })).toBe(false)
   })
--- a/src/services/zoneDrains/index.ts
+++ b/src/services/zoneDrains/index.ts
@@ -1,7 +1,7 @@
 /**
- * The availability zones whose backend servers get no work, because an operator
- * drains them. Read from the source by few nodes and passed on by peers; the
- * state of the higher revision holds, and an outage of the source ends no drain.
+ * Holds the availability zones that an operator drains: their backend servers get no new
+ * requests. A few nodes read the drains from the source and relay them to their peers. The
+ * state with the higher revision wins, and an outage of the source ends no drain.
  */
 import { createSourceFollower } from '../_lib/createSourceFollower.js'
 import type { SourceFollowerOptions, SourceReading } from '../_lib/createSourceFollower.js'
@@ -16,17 +16,18 @@
 }
 
 export type ZoneDrainsOptions = SourceFollowerOptions & {
-  /** How long one watch waits in milliseconds; a silent connection is found that much later. */
+  /** How long one watch waits, in milliseconds; a dead connection is detected only after that time. */
   readonly watchWaitMs: number
-  /** Whether the deployment has a zone of this name; a drain of another one changes nothing. */
+  /** Whether the deployment has a zone of this name; a drain of any other name has no effect. */
   readonly isZone?: (name: string) => boolean
 }
 
 export type RunningZoneDrains = RunningService<ZoneDrains> & {
-  /** Takes what a peer knows; it last reached the source `ageMs` ago where that is known. */
+  /** Applies the drains that a peer sent; the peer last reached the source `ageMs` milliseconds ago, `undefined` when that is unknown. */
   readonly learn: (news: ZoneDrainNews, ageMs?: number) => void
-  /** What this node knows, for peers; `undefined` before it knows anything. */
+  /** Returns the drains to send to peers; `undefined` before the first reading. */
   readonly news: () => ZoneDrainNews | undefined
+  /** Called when the source cannot be read. */
   readonly onNeed: (listener: () => void) => void
 }
 
@@ -34,7 +35,7 @@
  * Creates the service.
  *
  * @param dependencies - Clock, the source and the log.
- * @param options - Times in milliseconds, and who else reads the source.
+ * @param options - Times in milliseconds, and the other readers of the source.
  * @returns The service; it watches from its start to its stop.
  *
  * @example
@@ -66,7 +67,7 @@
   const publish = (): void => { for (const listener of listeners) listener() }
 
   const replaceAll = (news: ZoneDrainNews, from: string): void => {
-    // A reading that was on its way while a peer told something newer.
+    // A peer may have sent a newer state while the reading was under way.
     if (isKnown && news.revision < revision) return
     revision = news.revision
     isKnown = true
@@ -87,7 +88,7 @@
     if (!result.ok) return result
     const { changes, revision: atRevision } = result.value
     return success(() => {
-      // A peer may have told of later changes meanwhile: the next watch begins there.
+      // A peer may have sent later changes meanwhile; the next watch begins after them.
       if (atRevision < revision) return
       revision = atRevision
       for (const { zone, isEnded } of changes) {
--- a/src/services/zoneDrains/test.ts
+++ b/src/services/zoneDrains/test.ts
@@ -42,12 +42,12 @@
 }
 
 describe('createZoneDrains', () => {
-  test('knows the drains of its first reading', async () => {
+  test('applies the drains of its first reading', async () => {
     const { drains } = await start({ revision: 10, zones: ['zone-a'] })
     expect([drains.api.isKnown(), drains.api.isDrained('zone-a'), drains.api.isDrained('zone-b')]).toEqual([true, true, false])
   })
 
-  test('begins and ends drains as the source tells', async () => {
+  test('begins and ends drains as the source changes', async () => {
     const { clock, drains, change } = await start()
     change([{ zone: 'zone-a', isEnded: false }], 11)
     await clock.advanceAndSettle(200)
@@ -58,15 +58,15 @@
     expect(drains.api.endedAgoMs('zone-a')).toBeLessThanOrEqual(200)
   })
 
-  // A node that lost the store would send to a zone that is still to get nothing.
-  test('keeps a drain while the source is away', async () => {
+  // Otherwise a node that can't reach the store would send requests to a drained zone.
+  test('keeps a drain while the source is unavailable', async () => {
     const { clock, drains, setAway } = await start({ revision: 10, zones: ['zone-a'] })
     setAway(true)
     await clock.advanceAndSettle(10_000)
     expect(drains.api.isDrained('zone-a')).toBe(true)
   })
 
-  test('learns from a peer what the source doesn\'t tell', async () => {
+  test('applies a drain from a peer while the source is unavailable', async () => {
     const { clock, drains, setAway } = await start()
     setAway(true)
     await clock.advanceAndSettle(500)
@@ -74,14 +74,14 @@
     expect(drains.api.isDrained('zone-b')).toBe(true)
   })
 
-  // A peer that is cut off goes on telling of the drains before the newest one.
-  test('takes no older word of a peer', async () => {
+  // A partitioned peer still sends the drains of an older revision.
+  test('ignores an older revision from a peer', async () => {
     const { drains } = await start({ revision: 10, zones: ['zone-a'] })
     drains.learn({ revision: 9, zones: [] }, 0)
     expect(drains.api.isDrained('zone-a')).toBe(true)
   })
 
-  test('logs a drain under a name that no zone has', async () => {
+  test('logs a drain whose name is no zone', async () => {
     const { lines } = await start({ revision: 10, zones: ['elsewhere'] })
     expect(lines).toContainEqual(expect.objectContaining({ message: 'zone drain names no zone', zone: 'elsewhere' }))
   })
