--- a/src/services/claims/_lib/createEntryRouter.ts
+++ b/src/services/claims/_lib/createEntryRouter.ts
@@ -87,7 +87,7 @@
   const submit = async (entry: ClaimEntry, urgent: boolean): Promise<Result<EntryVerdict, ShardLogError>> => {
     if (shardCount === undefined && urgent && !gate.enter()) return failure({ kind: 'notWritten', message: 'the platform is down' })
     const shards = await readShardCount()
-    if (shards === undefined) return failure({ kind: 'notWritten', message: 'the layout of the claim log (number of shards) cannot be read' })
+    if (shards === undefined) return failure({ kind: 'notWritten', message: 'the layout of the claim log cannot be read' })
     const shard = selectClaimShard(entry.keyId, shards)
     const writer = selectWriter(shard)
     if (writer === undefined || writer.nodeId === membership.self().nodeId) return await submitHere(shard, entry, urgent)
@@ -100,11 +100,11 @@
 
   const appendForPeer = async (shard: number, encoded: readonly Uint8Array[]): Promise<PeerReply> => {
     const entries = encoded.map((bytes) => entryCodec.decode(bytes))
-    if (entries.includes(undefined)) return { kind: 'claimRefused', message: 'an entry of the append request is damaged' }
+    if (entries.includes(undefined)) return { kind: 'claimRefused', message: 'an entry is damaged' }
     const shards = await readShardCount()
     if (shards === undefined) return { kind: 'claimRefused', message: 'the platform is down' }
     const decoded = entries as readonly ClaimEntry[]
-    if (decoded.some((entry) => selectClaimShard(entry.keyId, shards) !== shard)) return { kind: 'claimRefused', message: 'an entry of the append request belongs to another shard' }
+    if (decoded.some((entry) => selectClaimShard(entry.keyId, shards) !== shard)) return { kind: 'claimRefused', message: 'an entry is of another shard' }
     const results = await Promise.all(decoded.map((entry) => submitHere(shard, entry, entry.kind === 'claim')))
     const refused = results.find((result) => !result.ok)
     if (refused !== undefined && !refused.ok) return { kind: 'claimRefused', message: refused.error.message }
--- a/src/services/dispatch/_lib/readRoutedRequest.ts
+++ b/src/services/dispatch/_lib/readRoutedRequest.ts
@@ -58,11 +58,11 @@
 }
 
 const readModelDestination = (index: ConfigurationIndex, request: CallerRequest, account: ClientAccount): Result<Destination, Refusal> => {
-  if (request.method !== 'POST') return refuse('unknownRoute', `${CHAT_COMPLETIONS_PATH} accepts POST only`)
+  if (request.method !== 'POST') return refuse('unknownRoute', `${CHAT_COMPLETIONS_PATH} takes POST only`)
   const body = readModelRequest(request.body)
-  if (body === undefined) return refuse('badRequest', 'the body is not a valid chat completion request: it needs a model and at least one message')
+  if (body === undefined) return refuse('badRequest', 'the body is not a chat completion request')
   const route = index.routesByModel.get(body.model)
-  if (route === undefined) return refuse('unknownModel', `no route serves the model ${JSON.stringify(body.model)}`)
+  if (route === undefined) return refuse('unknownModel', `there is no model ${JSON.stringify(body.model)}`)
   const chat = readChatId(request.headers) ?? body.opening
   return success({
     route,
@@ -75,7 +75,7 @@
 
 const readPlainDestination = (index: ConfigurationIndex, request: CallerRequest, account: ClientAccount, path: string): Result<Destination, Refusal> => {
   const route = matchRoute(index.pathRoutes, path)
-  if (route === undefined) return refuse('unknownRoute', 'no route matches this path')
+  if (route === undefined) return refuse('unknownRoute', 'no route has this path')
   const chat = readChatId(request.headers) ?? request.requestId
   return success({
     route,
@@ -95,7 +95,7 @@
   const longest = route.deadlineSeconds * 1_000
   const asked = headers['x-deadline-ms']
   if (asked === undefined) return success(longest)
-  if (!WHOLE_MILLISECONDS.test(asked)) return refuse('badRequest', 'X-Deadline-Ms must be an integer number of milliseconds of at most 9 digits')
+  if (!WHOLE_MILLISECONDS.test(asked)) return refuse('badRequest', 'X-Deadline-Ms must be whole milliseconds')
   return success(Math.min(longest, Number(asked)))
 }
 
@@ -108,7 +108,7 @@
 
 export const readRoutedRequest = (index: ConfigurationIndex, request: CallerRequest): Result<RoutedRequest, Refusal> => {
   const account = authenticateCaller(index, request)
-  if (account === undefined) return refuse('unauthorized', 'the API key is missing or unknown')
+  if (account === undefined) return refuse('unauthorized', 'the key is missing or not known')
   const path = normalisePath(request.path)
   if (!path.ok) return refuse('badRequest', path.error)
   const destination = readDestination(index, request, account, path.value)
--- a/src/services/dispatch/_lib/relayBody.ts
+++ b/src/services/dispatch/_lib/relayBody.ts
@@ -36,7 +36,7 @@
 }
 
 const deliverWhole = (context: RequestContext, answer: BackendAnswer, headers: Headers, body: Buffer): AttemptEnd => {
-  if (isBrokenJson(context, answer, body)) return failCut('the answer is truncated: its body is not valid JSON')
+  if (isBrokenJson(context, answer, body)) return failCut('the answer is not whole JSON')
   context.reply.sendWhole(answer.status, headers, body)
   const usage = context.routed.serviceKind === 'model' ? readTokenUsage(body.toString('utf8')) : undefined
   return {
--- a/src/services/dispatch/_lib/relayEvents.ts
+++ b/src/services/dispatch/_lib/relayEvents.ts
@@ -150,5 +150,5 @@
     // An engine that accepts the resume and then sends nothing is still working through its queue; only the deadline ends that wait.
     current = await resume(context, planner, backendServer, progress, end === 'idle' ? Math.max(0, inVain - 1) : inVain)
   }
-  return { kind: 'failed', attempt: failAfter('written', 'answerStarted', 'cut'), message: 'the event stream ended without its end marker [DONE]', outcome: 'failed' }
+  return { kind: 'failed', attempt: failAfter('written', 'answerStarted', 'cut'), message: 'the stream ended without its end marker', outcome: 'failed' }
 }
--- a/src/services/dispatch/_lib/runAttempt.ts
+++ b/src/services/dispatch/_lib/runAttempt.ts
@@ -53,7 +53,7 @@
   const answer = sent.value
   if (isForeign(context, answer)) {
     answer.abort()
-    return { kind: 'failed', attempt: failAfter('written', 'crossedAnswer'), message: 'the x-request-id of the answer is missing or belongs to another request', outcome: 'failed' }
+    return { kind: 'failed', attempt: failAfter('written', 'crossedAnswer'), message: 'the answer belongs to another request', outcome: 'failed' }
   }
   const notRun = answer.headers['x-not-run']
   if (answer.status === REFUSED_STATUS && notRun !== undefined) {
--- a/src/services/dispatch/_lib/runAttempts.ts
+++ b/src/services/dispatch/_lib/runAttempts.ts
@@ -37,8 +37,8 @@
 const refuseEnded = (context: RequestContext, planner: RetryPlanner): RequestResult => {
   const outcome = planner.mayHaveRun() ? 'unknown' : 'not-run'
   return context.scope.ended() === 'hungUp'
-    ? refuse(context, outcome, 'cancelled', 'the caller disconnected')
-    : refuse(context, outcome, 'deadline', 'the deadline of the request has passed')
+    ? refuse(context, outcome, 'cancelled', 'the caller hung up')
+    : refuse(context, outcome, 'deadline', 'the deadline has passed')
 }
 
 const completeWith = ({ stored, usage }: Extract<AttemptEnd, { kind: 'delivered' }>): RequestResult => ({
@@ -57,7 +57,7 @@
 
 const refuseUnplaced = (context: RequestContext, planner: RetryPlanner, placement: Extract<Placement, { kind: 'none' }>): RequestResult => {
   const outcome = planner.mayHaveRun() ? 'unknown' : 'not-run'
-  return refuse(context, outcome, placement.reason, 'no backend server can accept the request', placement.retryAfterMs)
+  return refuse(context, outcome, placement.reason, 'no backend server takes the request', placement.retryAfterMs)
 }
 
 /** Stores the server in the chat directory, unless the caller's own hint names it already. */
@@ -70,7 +70,7 @@
 const settleFailure = async (context: RequestContext, planner: RetryPlanner, end: Exclude<AttemptEnd, { kind: 'delivered' }>): Promise<RequestResult | undefined> => {
   const { dependencies, scope, retryAllowance } = context
   if (scope.signal.aborted) return refuseEnded(context, planner)
-  if (end.kind === 'callerLeft') return refuse(context, 'unknown', 'cancelled', 'the caller stopped reading the answer')
+  if (end.kind === 'callerLeft') return refuse(context, 'unknown', 'cancelled', 'the caller left')
   const plan = planner.plan(end.attempt)
   dependencies.metrics.count('retries', { decision: plan.kind })
   if (plan.kind !== 'retryElsewhere') {
--- a/src/services/dispatch/_lib/runClaimed.ts
+++ b/src/services/dispatch/_lib/runClaimed.ts
@@ -69,17 +69,17 @@
   },
   claimedElsewhere: async ({ limits }) => ({
     kind: 'refused',
-    refusal: describeRefusal('unknown', 'claimedElsewhere', 'a request with this Idempotency-Key was sent before; its outcome is not known on this router', limits.comeBackAfterMs)
+    refusal: describeRefusal('unknown', 'claimedElsewhere', 'a request under this key was sent before; its outcome is not known here', limits.comeBackAfterMs)
   }),
   keyReused: async () => ({
     kind: 'refused',
-    refusal: describeRefusal('not-run', 'idempotencyKeyReused', 'this Idempotency-Key was already used with a different request')
+    refusal: describeRefusal('not-run', 'idempotencyKeyReused', 'this Idempotency-Key was used with another request')
   }),
   // Only this request is known not to have run. An earlier one with the same key may have run, which
   // can't be read now, so a retry under a new key could execute it twice.
   unavailable: async (context, _key, { message }) => {
     context.dependencies.logger.warn('an idempotency key could not be claimed', { requestId: context.routed.request.requestId, message })
-    return refuseUnsent(context, 'platformUnavailable', 'the platform cannot be reached; this request was not sent; retry it with the same Idempotency-Key')
+    return refuseUnsent(context, 'platformUnavailable', 'the platform cannot be reached; this request was not sent; repeat it under the same Idempotency-Key')
   }
 }
 
@@ -94,7 +94,7 @@
     // A claim that is granted after the request ended is released: nothing was sent under it.
     claiming.then((late) => late.kind === 'granted' ? release(context, key, late.claimId) : undefined, () => undefined)
     const reason = scope.ended() === 'hungUp' ? 'cancelled' : 'deadline'
-    return refuseUnsent(context, reason, 'the request ended before its idempotency key was claimed')
+    return refuseUnsent(context, reason, 'ended before the request was claimed')
   }
   const handle = handlers[outcome.kind] as (context: RequestContext, key: ClaimKey, outcome: ClaimOutcome) => Promise<RequestResult>
   return await handle(context, key, outcome)
--- a/src/services/dispatch/_lib/runRequest.ts
+++ b/src/services/dispatch/_lib/runRequest.ts
@@ -53,11 +53,11 @@
     // Admitted after the request ended: the ticket is returned unused.
     admitting.then((late) => { if (late.ok) late.value.finish(0) }, () => undefined)
     const reason = scope.ended() === 'hungUp' ? 'cancelled' : 'deadline'
-    return { kind: 'refused', refusal: describeRefusal('not-run', reason, 'the request ended while it waited in the admission queue', limits.comeBackAfterMs) }
+    return { kind: 'refused', refusal: describeRefusal('not-run', reason, 'ended while it waited for its turn', limits.comeBackAfterMs) }
   }
   if (!admitted.ok) {
     const { reason, retryAfterMs } = admitted.error
-    return { kind: 'refused', refusal: describeRefusal('not-run', reason, 'the request was not admitted', retryAfterMs) }
+    return { kind: 'refused', refusal: describeRefusal('not-run', reason, 'not admitted now', retryAfterMs) }
   }
   let tokensUsed = 0
   try {
