--- a/src/daemon/startGateway/index.ts
+++ b/src/daemon/startGateway/index.ts
@@ -15,7 +15,7 @@
 import { createSystemClocks } from '../../adapters/systemClocks/index.js'
 import { createSystemRandom } from '../../adapters/systemRandom/index.js'
 import { createGatewayNode } from '../../node/createGatewayNode/index.js'
-import type { Clock, ConfigurationSource, EngineMemorySource, GatewayDialect, GatewaySettings, InstanceSource, Logger, PeerAddress, StartTimeline, ZoneDrainSource } from '../../types/index.js'
+import type { Clock, ConfigurationSource, PromptCacheSource, GatewayDialect, GatewaySettings, InstanceSource, Logger, PeerAddress, StartTimeline, ZoneDrainSource } from '../../types/index.js'
 
 export type GatewayOptions = {
   readonly settings: GatewaySettings
@@ -29,7 +29,7 @@
   readonly instanceSource: InstanceSource
   /** Left out where operators never drain zones. */
   readonly zoneDrainSource?: ZoneDrainSource | undefined
-  readonly engineMemory: EngineMemorySource
+  readonly engineMemory: PromptCacheSource
   readonly readinessPath: string
 }
 
@@ -112,7 +112,7 @@
     configurationSource: options.configurationSource,
     instanceSource: options.instanceSource,
     ...(options.zoneDrainSource === undefined ? {} : { zoneDrainSource: options.zoneDrainSource }),
-    engineMemory: options.engineMemory,
+    promptCacheSource: options.engineMemory,
     client,
     logger,
     metrics,
@@ -133,7 +133,7 @@
     readLimits: () => configuration.current()?.limits
   })
   const answerReadiness = (): ProbeAnswer => {
-    if (isStopping || !node.isAbleToServe()) return { status: 503, body: 'not ready' }
+    if (isStopping || !node.canServe()) return { status: 503, body: 'not ready' }
     timeline.mark('ready')
     return { status: 200, body: 'ready' }
   }
@@ -162,7 +162,7 @@
   }
 
   const whenAble = async (): Promise<void> => {
-    while (!node.isAbleToServe()) await wait(clock, STOP_POLL_MS)
+    while (!node.canServe()) await wait(clock, STOP_POLL_MS)
   }
 
   const shutDown = async (): Promise<void> => {
@@ -173,7 +173,7 @@
     gatewayHttp.beginClosing()
     // A zone with few nodes in rotation gets new connections on all of them, stopping ones included.
     const endsAt = stoppedAt + current.graceMs - GRACE_MARGIN_MS
-    node.resolve('forwarding').beginStopping(endsAt)
+    node.resolve('forwarding').beginShutdown(endsAt)
     await wait(clock, Math.min(TURN_AWAY_MS, current.graceMs / 2))
     gatewayHttp.closeIdle()
     const isQuiet = (): boolean => node.resolve('forwarding').openRequests() === 0 && clock.now() - gatewayHttp.lastUsedAt() > QUIET_MS
--- a/src/decisions/checkSheet/index.ts
+++ b/src/decisions/checkSheet/index.ts
@@ -2,9 +2,9 @@
  * Validates a complete sheet: duplicate names, references to missing records,
  * and settings that contradict each other.
  */
-import type { BackendService, Sheet, SheetColumn, SheetFault } from '../../types/index.js'
+import type { BackendService, Sheet, SheetColumn, SheetRecordProblem } from '../../types/index.js'
 
-type Check = (sheet: Sheet) => readonly SheetFault[]
+type Check = (sheet: Sheet) => readonly SheetRecordProblem[]
 
 /**
  * Checks that the records of a sheet fit together.
@@ -18,7 +18,7 @@
  * @example
  * checkSheet({ clientAccounts: [], services: [], backendServers: [], routes: [], plannedStops: [] }) // => []
  */
-export const checkSheet = (sheet: Sheet): readonly SheetFault[] => checks.flatMap((check) => check(sheet))
+export const checkSheet = (sheet: Sheet): readonly SheetRecordProblem[] => checks.flatMap((check) => check(sheet))
 
 const lists: readonly (keyof Sheet)[] = ['clientAccounts', 'services', 'backendServers', 'routes', 'plannedStops']
 
@@ -54,7 +54,7 @@
   ]
 }
 
-const checkReference = (record: keyof Sheet, index: number, column: SheetColumn, name: string, known: ReadonlySet<string>): readonly SheetFault[] => {
+const checkReference = (record: keyof Sheet, index: number, column: SheetColumn, name: string, known: ReadonlySet<string>): readonly SheetRecordProblem[] => {
   if (name === '' || known.has(name)) return []
   return [{ record, index, column, message: `${column} "${name}" is not in the sheet` }]
 }
@@ -98,7 +98,7 @@
   return findDoubles(targets).map((index) => ({ record: 'routes' as const, index, column, message: `${column} "${sheet.routes[index]?.[column]}" belongs to another route already` }))
 })
 
-const checkStopTimes: Check = (sheet) => sheet.plannedStops.flatMap(({ startsAt, endsAt }, index): readonly SheetFault[] => {
+const checkStopTimes: Check = (sheet) => sheet.plannedStops.flatMap(({ startsAt, endsAt }, index): readonly SheetRecordProblem[] => {
   if (Number.isNaN(startsAt)) return [{ record: 'plannedStops', index, column: 'startsAt', message: 'startsAt is missing or not readable' }]
   if (endsAt === undefined || endsAt > startsAt) return []
   return [{ record: 'plannedStops', index, column: 'endsAt', message: 'endsAt must be after startsAt' }]
--- a/src/decisions/estimateDuration/index.ts
+++ b/src/decisions/estimateDuration/index.ts
@@ -2,7 +2,7 @@
 import type { GatewayRoute } from '../../types/index.js'
 
 export type DurationQuestion = {
-  readonly route: Pick<GatewayRoute, 'repeatPolicy' | 'timeoutMs' | 'goalMs'>
+  readonly route: Pick<GatewayRoute, 'retryPolicy' | 'timeoutMs' | 'latencyTargetMs'>
   /** Maximum number of tokens of the answer. */
   readonly outputTokens: number
   /** Time between two tokens in milliseconds, as recently observed. */
@@ -22,9 +22,9 @@
  * @returns The time to the end of the answer in milliseconds.
  *
  * @example
- * estimateDuration({ route: { repeatPolicy: 'safe', timeoutMs: 800, goalMs: 300 }, outputTokens: 0, tokenMs: 10 }) // => 800
+ * estimateDuration({ route: { retryPolicy: 'safe', timeoutMs: 800, latencyTargetMs: 300 }, outputTokens: 0, tokenMs: 10 }) // => 800
  */
 export const estimateDuration = ({ route, outputTokens, tokenMs }: DurationQuestion): number => {
-  if (route.repeatPolicy !== 'stream') return route.timeoutMs
-  return Math.min(route.timeoutMs, route.goalMs + PACE_ROOM * outputTokens * tokenMs)
+  if (route.retryPolicy !== 'stream') return route.timeoutMs
+  return Math.min(route.timeoutMs, route.latencyTargetMs + PACE_ROOM * outputTokens * tokenMs)
 }
--- a/src/decisions/selectGatewayRoute/test.ts
+++ b/src/decisions/selectGatewayRoute/test.ts
@@ -4,7 +4,7 @@
 import type { GatewayRoute } from '../../types/index.js'
 
 const createRoute = (name: string, host: string, pathPrefix: string): GatewayRoute => ({
-  name, host, pathPrefix, targets: [{ service: 's', weight: 1 }], repeatPolicy: 'safe', isResumable: false, timeoutMs: 1_000, goalMs: 300, pauseGoalMs: 300, maximumAttempts: 1, priority: 0, isPublic: false
+  name, host, pathPrefix, targets: [{ service: 's', weight: 1 }], retryPolicy: 'safe', isResumable: false, timeoutMs: 1_000, latencyTargetMs: 300, eventGapTargetMs: 300, maximumAttempts: 1, priority: 0, isPublic: false
 })
 
 const index = indexRoutes([createRoute('root', 'shop.example', '/'), createRoute('chat', 'shop.example', '/chat/'), createRoute('deep', 'shop.example', '/chat/deep/'), createRoute('other', 'desk.example', '/chat/')])
--- a/src/emulator/composeGatewaySettings/index.ts
+++ b/src/emulator/composeGatewaySettings/index.ts
@@ -27,9 +27,9 @@
   keyRevocationMs: 5_000,
   configurationDelayMs: 2_000,
   serverDrainMs: 2_000,
-  repeatRatio: 0.2,
-  repeatExtra: 50,
-  repeatWindowMs: 10_000,
+  retryRatio: 0.2,
+  retryExtra: 50,
+  retryWindowMs: 10_000,
   loadFactor: 2,
   logLevel: 'info',
   ...changes
--- a/src/emulator/createKnowledgeFleet/index.ts
+++ b/src/emulator/createKnowledgeFleet/index.ts
@@ -69,7 +69,7 @@
       transport,
       ...source.connect(index),
       client: NO_CLIENT,
-      engineMemory: { list: async () => success([]) },
+      promptCacheSource: { list: async () => success([]) },
       logger: SILENT_LOGGER,
       metrics: NO_METRICS
     })
--- a/src/node/createGatewayNode/_lib/noteStart.ts
+++ b/src/node/createGatewayNode/_lib/recordStartSteps.ts
@@ -2,7 +2,7 @@
 import type { StartTimeline } from '../../../types/index.js'
 import type { GatewayNode } from '../index.js'
 
-export const noteStart = (timeline: StartTimeline, resolve: GatewayNode['resolve']): void => {
+export const recordStartSteps = (timeline: StartTimeline, resolve: GatewayNode['resolve']): void => {
   timeline.mark('asking')
   const registry = resolve('instanceRegistry')
   const membership = resolve('membership')
--- a/src/node/createGatewayNode/_lib/registerForwarding.ts
+++ b/src/node/createGatewayNode/_lib/registerForwarding.ts
@@ -9,20 +9,20 @@
 import type { GatewayNodeDependencies, GatewayServices } from '../index.js'
 
 /** Safety margin within the time limit for key revocation: covers clock drift and a request that is already being sent. */
-const KEY_MARGIN_MS = 500
+const KEY_REVOCATION_MARGIN_MS = 500
 
 /** Without a limit in the settings, a server that is warming up gets its stated rate. */
 const DEFAULT_WARM_UP_LIMIT = { excess: 1, slack: 0 }
 
 const toBounds = (settings: GatewaySettings): ForwardingBounds => ({
   loadFactor: settings.loadFactor,
-  repeatLimits: { ratio: settings.repeatRatio, extra: settings.repeatExtra, windowMs: settings.repeatWindowMs },
-  keyFreshnessMs: settings.keyRevocationMs > 0 ? settings.keyRevocationMs - KEY_MARGIN_MS : Infinity,
+  repeatLimits: { ratio: settings.retryRatio, extra: settings.retryExtra, windowMs: settings.retryWindowMs },
+  keyFreshnessMs: settings.keyRevocationMs > 0 ? settings.keyRevocationMs - KEY_REVOCATION_MARGIN_MS : Infinity,
   configurationFreshnessMs: settings.configurationDelayMs
 })
 
 /** Sources for recovering the cached prefix locations after a start: the configuration says which services run model engines, the registry lists the engines. */
-const createPlacesRecoverySources = ({ settings, random, logger, engineMemory }: GatewayNodeDependencies, resolve: Kernel<GatewayServices>['resolve']): PlacesRecoverySources => {
+const createPlacesRecoverySources = ({ settings, random, logger, promptCacheSource }: GatewayNodeDependencies, resolve: Kernel<GatewayServices>['resolve']): PlacesRecoverySources => {
   const configuration = resolve('gatewayConfiguration')
   const registry = resolve('instanceRegistry')
   const zoneDrains = resolve('zoneDrains')
@@ -30,9 +30,9 @@
     logger,
     random,
     registry: { all: () => registry.all().filter((instance) => !zoneDrains.isDrained(instance.availabilityZone)) },
-    memory: engineMemory,
+    memory: promptCacheSource,
     availabilityZone: settings.availabilityZone,
-    isEngine: ({ service }) => configuration.current()?.services.get(service)?.isEngine === true,
+    isEngine: ({ service }) => configuration.current()?.services.get(service)?.isModelService === true,
     areEnginesKnown: () => configuration.current() !== undefined && registry.isKnown(),
     onKnown: (listener) => {
       configuration.onChange(listener)
@@ -52,7 +52,7 @@
       const health = createInstanceHealth({ clock, logger, client })
       const registry = resolve('instanceRegistry')
       registry.onChange(() => {
-        const live = new Set([...registry.all(), ...registry.removedLately()].map(formatInstanceKey))
+        const live = new Set([...registry.all(), ...registry.recentlyRemoved()].map(formatInstanceKey))
         health.api.retain(live)
         client.retain(live)
       })
--- a/src/node/createGatewayNode/_lib/registerGauges.ts
+++ b/src/node/createGatewayNode/_lib/registerGauges.ts
@@ -3,7 +3,7 @@
 import type { GatewayNode } from '../index.js'
 
 const MILLISECONDS_PER_SECOND = 1_000
-const UNKNOWN_AGE = -1
+const UNKNOWN_AGE_SECONDS = -1
 
 const countBy = (values: readonly (readonly [key: string, labels: Readonly<Record<string, string>>])[]): readonly GaugeReading[] => {
   const readings = new Map<string, { value: number, readonly labels: Readonly<Record<string, string>> }>()
@@ -38,7 +38,7 @@
 
 const readConfirmedAge = (resolve: Resolve): number => {
   const ageMs = resolve('gatewayConfiguration').confirmedAgeMs()
-  return Number.isFinite(ageMs) ? ageMs / MILLISECONDS_PER_SECOND : UNKNOWN_AGE
+  return Number.isFinite(ageMs) ? ageMs / MILLISECONDS_PER_SECOND : UNKNOWN_AGE_SECONDS
 }
 
 /** Registers the gauges; each is read on every scrape. */
--- a/src/node/createGatewayNode/_lib/registerLoad.ts
+++ b/src/node/createGatewayNode/_lib/registerLoad.ts
@@ -8,13 +8,13 @@
 import type { GatewayNodeDependencies, GatewayServices } from '../index.js'
 import { DEAD_AFTER_MS } from './deadAfterMs.js'
 
-const LOAD_REPORT_MS = 250
+const LOAD_REPORT_INTERVAL_MS = 250
 /**
  * Time between two load snapshots in a large fleet. At 69 nodes a request takes about
  * a second and the load bound is twice the mean, so that snapshots at half the rate
  * suffice and halve the messages of a node that has little else to do.
  */
-const LOAD_SUM_MS = 400
+const LOAD_SNAPSHOT_INTERVAL_MS = 400
 
 const nameInstances = (instances: readonly BackendInstance[]): readonly NamedServer[] =>
   instances.map((instance) => ({ name: formatInstanceKey(instance), availabilityZone: instance.availabilityZone }))
@@ -31,7 +31,7 @@
       registry.onChange(() => { servers = nameInstances(registry.all()) })
       return createFleetLoad(
         { clock, transport, membership: resolve('membership'), readServers: () => servers, readCounts: () => loadView?.publishedCounts() ?? new Map() },
-        { fullMeshPeers: DEFAULT_FAN_OUT.fullMeshPeers, periodMs: LOAD_SUM_MS }
+        { fullMeshPeers: DEFAULT_FAN_OUT.fullMeshPeers, periodMs: LOAD_SNAPSHOT_INTERVAL_MS }
       )
     }
   })
@@ -41,7 +41,7 @@
     create: (resolve) => {
       loadView = createLoadView(
         { clock, transport, membership: resolve('membership'), exchange: resolve('heartbeatExchange'), fleetLoad: resolve('fleetLoad') },
-        { settings: { nodeId: settings.nodeId, loadReportIntervalMs: LOAD_REPORT_MS, deadAfterMs: DEAD_AFTER_MS } }
+        { settings: { nodeId: settings.nodeId, loadReportIntervalMs: LOAD_REPORT_INTERVAL_MS, deadAfterMs: DEAD_AFTER_MS } }
       )
       return loadView
     }
--- a/src/node/createGatewayNode/_lib/registerPeers.ts
+++ b/src/node/createGatewayNode/_lib/registerPeers.ts
@@ -7,7 +7,7 @@
 import type { GatewayNodeDependencies, GatewayServices } from '../index.js'
 import { DEAD_AFTER_MS } from './deadAfterMs.js'
 
-const HEARTBEAT_MS = 500
+const HEARTBEAT_INTERVAL_MS = 500
 /** Gossip crosses zones through the fixed watchers; a random remote peer would account for a third of the packets. */
 const FAN_OUT: HeartbeatFanOut = { ...DEFAULT_FAN_OUT, randomRemotePeers: 0 }
 const SUSPECT_AFTER_MS = 1_500
@@ -26,7 +26,7 @@
     create: (resolve) => createMembership(
       { clock, random, transport, exchange: resolve('heartbeatExchange'), vmList: resolve('vmList'), logger },
       {
-        settings: { nodeId: settings.nodeId, availabilityZone: settings.availabilityZone, get seedPeers () { return readSettings().seedPeers }, heartbeatIntervalMs: HEARTBEAT_MS, suspectAfterMs: SUSPECT_AFTER_MS, deadAfterMs: DEAD_AFTER_MS },
+        settings: { nodeId: settings.nodeId, availabilityZone: settings.availabilityZone, get seedPeers () { return readSettings().seedPeers }, heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS, suspectAfterMs: SUSPECT_AFTER_MS, deadAfterMs: DEAD_AFTER_MS },
         address: () => settings.peerAddress,
         fanOut: FAN_OUT,
         ...(settings.millicores === undefined ? {} : { millicores: settings.millicores }),
--- a/src/node/createGatewayNode/_lib/registerKnowledge.ts
+++ b/src/node/createGatewayNode/_lib/registerSources.ts
@@ -11,23 +11,23 @@
  * Time between two reads of the configuration: half of the two seconds within which
  * a new one must be in force, less the time of a slow read.
  */
-const CONFIGURATION_READ_MS = 800
+const CONFIGURATION_READ_INTERVAL_MS = 800
 /** Time-out of a watch. A connection that stopped responding is detected within it, well before the time bound of a leaving server. */
-const WATCH_WAIT_MS = 2_500
+const WATCH_TIMEOUT_MS = 2_500
 /** Time between two queries of a node to its two readers in turn; each is queried every 1.1 s. */
-const READER_ASK_MS = 550
+const READER_QUERY_INTERVAL_MS = 550
 /**
  * How long a node relies on its readers without a new confirmation. A read every
  * 0.8 s and a query every 0.55 s keep its age within 1.4 s. At an age above two
  * seconds the node could no longer answer that a route does not exist.
  */
-const RELIANCE_MS = 1_500
+const MAXIMUM_RELIANCE_MS = 1_500
 
 /** Used in deployments without zone drains. */
 const NO_ZONE_DRAINS: ZoneDrains = { isDrained: () => false, endedAgoMs: () => Infinity, revision: () => 0, isKnown: () => true, onChange: () => { /* nothing changes */ } }
 
 /** Registers the services for configuration, backend servers and zone drains, and their exchange with peers. */
-export const registerKnowledge = (kernel: Kernel<GatewayServices>, dependencies: GatewayNodeDependencies): void => {
+export const registerSources = (kernel: Kernel<GatewayServices>, dependencies: GatewayNodeDependencies): void => {
   const { clock, random, clocks, transport, configurationSource, instanceSource, zoneDrainSource, settings, logger } = dependencies
   let configuration: RunningGatewayConfiguration | undefined
   let registry: RunningInstanceRegistry | undefined
@@ -38,7 +38,7 @@
     name: 'gatewayConfiguration',
     dependsOn: [],
     create: () => {
-      configuration = createGatewayConfiguration({ clock, source: configurationSource, logger, clocks }, { readIntervalMs: CONFIGURATION_READ_MS, isReader, relianceMs: RELIANCE_MS })
+      configuration = createGatewayConfiguration({ clock, source: configurationSource, logger, clocks }, { readIntervalMs: CONFIGURATION_READ_INTERVAL_MS, isReader, relianceMs: MAXIMUM_RELIANCE_MS })
       return configuration
     }
   })
@@ -46,7 +46,7 @@
     name: 'instanceRegistry',
     dependsOn: [],
     create: () => {
-      registry = createInstanceRegistry({ clock, source: instanceSource, logger }, { watchWaitMs: WATCH_WAIT_MS, isReader, relianceMs: RELIANCE_MS, drainMs: dependencies.settings.serverDrainMs })
+      registry = createInstanceRegistry({ clock, source: instanceSource, logger }, { watchWaitMs: WATCH_TIMEOUT_MS, isReader, relianceMs: MAXIMUM_RELIANCE_MS, drainMs: dependencies.settings.serverDrainMs })
       return registry
     }
   })
@@ -56,7 +56,7 @@
     create: () => {
       if (zoneDrainSource === undefined) return { api: NO_ZONE_DRAINS }
       const isZone = (name: string): boolean => settings.regionByZone?.has(name) ?? true
-      zoneDrains = createZoneDrains({ clock, source: zoneDrainSource, logger }, { watchWaitMs: WATCH_WAIT_MS, isReader, relianceMs: RELIANCE_MS, isZone })
+      zoneDrains = createZoneDrains({ clock, source: zoneDrainSource, logger }, { watchWaitMs: WATCH_TIMEOUT_MS, isReader, relianceMs: MAXIMUM_RELIANCE_MS, isZone })
       return zoneDrains
     }
   })
@@ -65,7 +65,7 @@
     dependsOn: ['membership', 'heartbeatExchange', 'gatewayConfiguration', 'instanceRegistry', 'zoneDrains'],
     create: (resolve) => {
       if (configuration === undefined || registry === undefined) throw new Error('knowledgeExchange was created before gatewayConfiguration or instanceRegistry')
-      return createKnowledgeExchange({ clock, random, transport, membership: resolve('membership'), exchange: resolve('heartbeatExchange'), configuration, registry, ...(zoneDrains === undefined ? {} : { zoneDrains }), clocks }, { askIntervalMs: READER_ASK_MS })
+      return createKnowledgeExchange({ clock, random, transport, membership: resolve('membership'), exchange: resolve('heartbeatExchange'), configuration, registry, ...(zoneDrains === undefined ? {} : { zoneDrains }), clocks }, { queryIntervalMs: READER_QUERY_INTERVAL_MS })
     }
   })
 }
--- a/src/node/createGatewayNode/index.ts
+++ b/src/node/createGatewayNode/index.ts
@@ -2,10 +2,10 @@
  * A gateway node: the services that forward complete HTTP requests by host and
  * path, assembled in the kernel. All I/O is injected, as for a router node.
  */
-import { noteStart } from './_lib/noteStart.js'
+import { recordStartSteps } from './_lib/recordStartSteps.js'
 import { registerForwarding } from './_lib/registerForwarding.js'
 import { registerGauges } from './_lib/registerGauges.js'
-import { registerKnowledge } from './_lib/registerKnowledge.js'
+import { registerSources } from './_lib/registerSources.js'
 import { registerLoad } from './_lib/registerLoad.js'
 import { registerPeers } from './_lib/registerPeers.js'
 import type { Clocks } from '../../decisions/measureAge/index.js'
@@ -18,7 +18,7 @@
 import type { VmList } from '../../services/vmList/index.js'
 import type { WarmUp } from '../../services/warmUp/index.js'
 import type {
-  Clock, ConfigurationSource, EngineMemorySource, Forwarding, GatewayConfigurationHolder, GatewaySettings, InstanceClient, InstanceRegistry, InstanceSource,
+  Clock, ConfigurationSource, PromptCacheSource, Forwarding, GatewayConfigurationHolder, GatewaySettings, InstanceClient, InstanceRegistry, InstanceSource,
   LoadView, Logger, Membership, Metrics, PeerTransport, RandomSource, StartTimeline, ZoneDrains, ZoneDrainSource
 } from '../../types/index.js'
 
@@ -35,7 +35,7 @@
   /** Omitted when the deployment has no zone drains. */
   readonly zoneDrainSource?: ZoneDrainSource
   readonly client: InstanceClient
-  readonly engineMemory: EngineMemorySource
+  readonly promptCacheSource: PromptCacheSource
   readonly logger: Logger
   readonly metrics: Metrics
   readonly timeline?: StartTimeline
@@ -62,7 +62,7 @@
   readonly stop: () => Promise<void>
   readonly resolve: Kernel<GatewayServices>['resolve']
   /** Whether the node can serve: it has a configuration, the list of backend servers and the zone drains. */
-  readonly isAbleToServe: () => boolean
+  readonly canServe: () => boolean
 }
 
 /**
@@ -79,17 +79,17 @@
 export const createGatewayNode = (dependencies: GatewayNodeDependencies): GatewayNode => {
   const kernel = createKernel<GatewayServices>()
   registerPeers(kernel, dependencies)
-  registerKnowledge(kernel, dependencies)
+  registerSources(kernel, dependencies)
   registerLoad(kernel, dependencies)
   registerForwarding(kernel, dependencies)
   return {
     start: async () => {
       await kernel.start()
-      if (dependencies.timeline !== undefined) noteStart(dependencies.timeline, kernel.resolve)
+      if (dependencies.timeline !== undefined) recordStartSteps(dependencies.timeline, kernel.resolve)
       registerGauges(dependencies.metrics, kernel.resolve)
     },
     stop: kernel.stop,
     resolve: kernel.resolve,
-    isAbleToServe: () => kernel.resolve('gatewayConfiguration').current() !== undefined && kernel.resolve('instanceRegistry').isKnown() && kernel.resolve('zoneDrains').isKnown()
+    canServe: () => kernel.resolve('gatewayConfiguration').current() !== undefined && kernel.resolve('instanceRegistry').isKnown() && kernel.resolve('zoneDrains').isKnown()
   }
 }
--- a/src/node/createRouterNode/_lib/registerPeers.ts
+++ b/src/node/createRouterNode/_lib/registerPeers.ts
@@ -15,8 +15,8 @@
   const { settings, clock, random, platform, transport, peerAddress, logger, metrics } = dependencies
   kernel.register({ name: 'heartbeatExchange', dependsOn: [], create: () => ({ api: createHeartbeatExchange() }) })
   // Only a few nodes per zone read the list, so that the reads do not grow with the fleet.
-  const readsVmList = (): boolean => isZoneWatcher(settings, kernel.resolve('membership').members(), VM_LIST_READERS_PER_ZONE)
-  kernel.register({ name: 'vmList', dependsOn: [], create: () => createVmList({ clock, random, platform }, { intervalMs: VM_LIST_INTERVAL_MS, isReader: readsVmList }) })
+  const isVmListReader = (): boolean => isZoneWatcher(settings, kernel.resolve('membership').members(), VM_LIST_READERS_PER_ZONE)
+  kernel.register({ name: 'vmList', dependsOn: [], create: () => createVmList({ clock, random, platform }, { intervalMs: VM_LIST_INTERVAL_MS, isReader: isVmListReader }) })
   kernel.register({
     name: 'membership',
     dependsOn: ['heartbeatExchange', 'vmList'],
--- a/src/services/_lib/createSourceFollower.ts
+++ b/src/services/_lib/createSourceFollower.ts
@@ -33,15 +33,15 @@
   readonly start: () => void
   readonly stop: () => void
   /** Reports that a peer sent the list, and that the peer reached the source `ageMs` ago. */
-  readonly noteRelayed: (ageMs: number) => void
+  readonly recordRelay: (ageMs: number) => void
   readonly isReachable: () => boolean
   /** Registers a listener that is called when the source cannot be read. */
-  readonly onNeed: (listener: () => void) => void
+  readonly onPeersNeeded: (listener: () => void) => void
 }
 
 const RETRY_MS = 200
 /** Entries expire after three missed heartbeats, so that a shorter outage removes none. */
-const SHORTEST_LAPSE_MS = 3_000
+const MINIMUM_EXPIRY_MS = 3_000
 
 /**
  * Creates the follower of one list.
@@ -52,37 +52,37 @@
  * @returns The follower; it runs from its start to its stop.
  */
 export const createSourceFollower = (clock: Clock, source: FollowedSource, options: SourceFollowerOptions): SourceFollower => {
-  const needListeners: (() => void)[] = []
+  const peersNeededListeners: (() => void)[] = []
   let relayedAt = -Infinity
   /** Undefined before the first response, so that a source that was never reached is reported as well. */
   let isReachable: boolean | undefined
   let isStopped = false
   let timer: Timer | undefined
 
-  const noteReached = (): void => {
+  const recordReached = (): void => {
     if (isReachable === true) return
     isReachable = true
     source.onReached()
   }
 
-  const noteLost = (error: SourceError): void => {
+  const recordLost = (error: SourceError): void => {
     if (isReachable === false) return
     isReachable = false
     source.onLost(describeSourceError(error))
   }
 
-  const take = (reading: SourceReading): boolean => {
+  const applyReading = (reading: SourceReading): boolean => {
     if (!reading.ok) {
       if (reading.error.kind === 'historyGone') source.onHistoryGone()
-      else noteLost(reading.error)
+      else recordLost(reading.error)
       return false
     }
-    noteReached()
+    recordReached()
     reading.value()
     return true
   }
 
-  const pause = (ms: number): Promise<void> => new Promise((resolve) => { timer = clock.setTimer(ms, resolve) })
+  const wait = (ms: number): Promise<void> => new Promise((resolve) => { timer = clock.setTimer(ms, resolve) })
 
   /** A node without a list does not rely on readers. */
   const pace = (): SourceReadPace => paceSourceReads({
@@ -94,7 +94,7 @@
 
   /** Entries may have expired in an outage that only the readers noticed, so this node then reports the source as reached again. */
   const endReliance = (): void => {
-    if (clock.now() - relayedAt > SHORTEST_LAPSE_MS) isReachable = undefined
+    if (clock.now() - relayedAt > MINIMUM_EXPIRY_MS) isReachable = undefined
   }
 
   const follow = async (): Promise<void> => {
@@ -104,18 +104,18 @@
       const { isRelying, lookAfterMs, retryAfterMs } = pace()
       if (isRelying) {
         isListed = false
-        await pause(lookAfterMs)
+        await wait(lookAfterMs)
         if (!pace().isRelying) endReliance()
         continue
       }
       const reading: SourceReading = isListed ? await source.watch() : await source.readAll()
       if (isStopped) return
-      const isTaken = take(reading)
-      if (!isTaken && !isListed) {
-        for (const listener of needListeners) listener()
-        await pause(retryAfterMs)
+      const isApplied = applyReading(reading)
+      if (!isApplied && !isListed) {
+        for (const listener of peersNeededListeners) listener()
+        await wait(retryAfterMs)
       }
-      isListed = isTaken
+      isListed = isApplied
     }
   }
 
@@ -125,8 +125,8 @@
       isStopped = true
       timer?.cancel()
     },
-    noteRelayed: (ageMs) => { relayedAt = Math.max(relayedAt, clock.now() - ageMs) },
+    recordRelay: (ageMs) => { relayedAt = Math.max(relayedAt, clock.now() - ageMs) },
     isReachable: () => isReachable === true,
-    onNeed: (listener) => { needListeners.push(listener) }
+    onPeersNeeded: (listener) => { peersNeededListeners.push(listener) }
   }
 }
--- a/src/services/auditTrail/index.ts
+++ b/src/services/auditTrail/index.ts
@@ -24,7 +24,7 @@
   /** Records the outcome of an attempt. */
   readonly settle: (entry: AuditEntry, outcome: AuditOutcome, reason?: string) => Promise<Result<undefined, PlatformError>>
   /** Records the outcome of entries left as `attempted` up to the generation in force; its root shows which attempt was accepted. */
-  readonly settleLeftOver: (root: ConfigurationRoot) => Promise<void>
+  readonly settleAbandoned: (root: ConfigurationRoot) => Promise<void>
   /** Deletes the oldest entries beyond the bound, a few at a time. */
   readonly prune: () => Promise<void>
   /** The latest entries, oldest first. */
@@ -110,7 +110,7 @@
   return {
     begin: create,
     settle,
-    settleLeftOver: async (root) => {
+    settleAbandoned: async (root) => {
       const previous = root.history[0]?.generation ?? 0
       const names = await list(`${PREFIX}${padGeneration(previous)}~`)
       if (!names.ok) return
--- a/src/services/configuration/_lib/createChunkFetcher.ts
+++ b/src/services/configuration/_lib/createChunkFetcher.ts
@@ -4,7 +4,7 @@
  */
 import { failure, success } from '../../../kernel/index.js'
 import type { Member, PeerTransport, Platform, RandomSource, Result } from '../../../types/index.js'
-import { choosePeers } from './choosePeers.js'
+import { selectPeers } from './selectPeers.js'
 
 /** Fetches the bytes of a chunk of a generation and verifies their hash. */
 export type ChunkFetcher = (hash: string, generation: number) => Promise<Result<Uint8Array, string>>
@@ -23,32 +23,32 @@
   const { platform, peerTransport, hashContent } = dependencies
 
   /** Bytes that were damaged in transit or at the source have another hash; the next source is tried. */
-  const check = (hash: string, source: string, bytes: Uint8Array | undefined): Result<Uint8Array, string> => {
+  const verify = (hash: string, source: string, bytes: Uint8Array | undefined): Result<Uint8Array, string> => {
     if (bytes === undefined) return failure(`${source} does not have it`)
     if (hashContent(bytes) !== hash) return failure(`${source} sent bytes of another hash`)
     return success(bytes)
   }
 
-  const askPeer = async (hash: string, peer: Member): Promise<Result<Uint8Array, string>> => {
+  const fetchFromPeer = async (hash: string, peer: Member): Promise<Result<Uint8Array, string>> => {
     const reply = await peerTransport.request(peer.address, { kind: 'chunkRequest', hash }, options.peerTimeoutMs)
     if (!reply.ok) return failure(`${peer.nodeId}: ${reply.error.kind}`)
-    return check(hash, peer.nodeId, reply.value.kind === 'chunk' ? reply.value.bytes : undefined)
+    return verify(hash, peer.nodeId, reply.value.kind === 'chunk' ? reply.value.bytes : undefined)
   }
 
-  const askPlatform = async (hash: string): Promise<Result<Uint8Array, string>> => {
+  const fetchFromPlatform = async (hash: string): Promise<Result<Uint8Array, string>> => {
     const object = await platform.readObject(`configuration/chunks/${hash}`)
     if (!object.ok) return failure(`platform: ${object.error.kind}`)
-    return check(hash, 'platform', object.value?.bytes)
+    return verify(hash, 'platform', object.value?.bytes)
   }
 
   return async (hash, generation) => {
     const problems: string[] = []
-    for (const peer of choosePeers(dependencies.peers(), generation, options, dependencies.random)) {
-      const bytes = await askPeer(hash, peer)
+    for (const peer of selectPeers(dependencies.peers(), generation, options, dependencies.random)) {
+      const bytes = await fetchFromPeer(hash, peer)
       if (bytes.ok) return bytes
       problems.push(bytes.error)
     }
-    const bytes = await askPlatform(hash)
+    const bytes = await fetchFromPlatform(hash)
     if (bytes.ok) return bytes
     return failure(`chunk ${hash.slice(0, 12)} could not be fetched: ${[...problems, bytes.error].join(', ')}`)
   }
--- a/src/services/configuration/_lib/createInstaller.ts
+++ b/src/services/configuration/_lib/createConfigurationInstaller.ts
@@ -8,26 +8,26 @@
 import type { Configuration, ConfigurationRoot, Result } from '../../../types/index.js'
 import type { ChunkFetcher } from './createChunkFetcher.js'
 
-export type FoundRoot = { readonly root: ConfigurationRoot, readonly bytes: Uint8Array }
+export type FetchedRoot = { readonly root: ConfigurationRoot, readonly bytes: Uint8Array }
 
-export type Installer = {
+export type ConfigurationInstaller = {
   readonly current: () => Configuration | undefined
   readonly generation: () => number
   readonly applyId: () => string | undefined
   /** Returns the new configuration, `undefined` if the root's generation is not higher, or why it could not be put in force. */
-  readonly install: (found: FoundRoot) => Promise<Result<Configuration | undefined, string>>
+  readonly install: (found: FetchedRoot) => Promise<Result<Configuration | undefined, string>>
   readonly readRoot: () => Uint8Array | undefined
   readonly readChunk: (hash: string) => Uint8Array | undefined
 }
 
 type KnownChunk = { readonly bytes: Uint8Array, readonly records: readonly ChunkRecord[] }
 
-type InForce = FoundRoot & { readonly configuration: Configuration }
+type InForce = FetchedRoot & { readonly configuration: Configuration }
 
 /** Maximum chunk fetches in flight while a generation is installed. */
 const CONCURRENT_FETCHES = 8
 
-export const createInstaller = (fetchChunk: ChunkFetcher): Installer => {
+export const createConfigurationInstaller = (fetchChunk: ChunkFetcher): ConfigurationInstaller => {
   const chunks = new Map<string, KnownChunk>()
   let inForce: InForce | undefined
 
--- a/src/services/configuration/_lib/createPlatformWatch.ts
+++ b/src/services/configuration/_lib/createPlatformWatch.ts
@@ -6,9 +6,9 @@
 import { computeBackoff, type BackoffRange } from '../../../decisions/computeBackoff/index.js'
 import { failure, success } from '../../../kernel/index.js'
 import type { Clock, Platform, PlatformError, RandomSource, Result } from '../../../types/index.js'
-import type { FoundRoot } from './createInstaller.js'
+import type { FetchedRoot } from './createConfigurationInstaller.js'
 import { ROOT_NAME, type RootReader } from './createRootReader.js'
-import type { Sleeper } from './createSleeper.js'
+import type { InterruptibleDelay } from './createInterruptibleDelay.js'
 
 export type PlatformWatch = {
   /** Runs until stopped. */
@@ -24,7 +24,7 @@
 export type PlatformWatchDependencies = {
   readonly platform: Platform
   readonly reader: RootReader
-  readonly sleeper: Sleeper
+  readonly delay: InterruptibleDelay
   readonly clock: Clock
   readonly random: RandomSource
   readonly isWatcher: () => boolean
@@ -32,16 +32,16 @@
   /** Generation in force on this node, 0 for none. */
   readonly generation: () => number
   /** Called with each root that was read, and the generation in force on this node before the read began. */
-  readonly onRoot: (found: FoundRoot, generationBefore: number) => void
+  readonly onRoot: (found: FetchedRoot, generationBefore: number) => void
 }
 
 export const createPlatformWatch = (dependencies: PlatformWatchDependencies, options: PlatformWatchOptions): PlatformWatch => {
-  const { platform, reader, sleeper, clock, random, isWatcher, isRunning } = dependencies
+  const { platform, reader, delay, clock, random, isWatcher, isRunning } = dependencies
   const hasConfiguration = (): boolean => dependencies.generation() > 0
   let state = 'the platform has not answered yet'
   let revision: number | undefined
   let failures = 0
-  let watchedLast = false
+  let wasWatching = false
 
   const readRoot = async (): Promise<Result<undefined, string>> => {
     const generationBefore = dependencies.generation()
@@ -82,16 +82,16 @@
   }
 
   const watch = (): Promise<Result<undefined, string>> => {
-    watchedLast = true
+    wasWatching = true
     return revision === undefined ? beginWatch() : continueWatch(revision)
   }
 
   const poll = async (): Promise<Result<undefined, string>> => {
-    watchedLast = false
+    wasWatching = false
     revision = undefined
     const read = await readRoot()
     if (read.ok) failures = 0
-    if (read.ok || hasConfiguration()) await sleeper.sleep(options.pollIntervalMs * (0.5 + random.next()))
+    if (read.ok || hasConfiguration()) await delay.wait(options.pollIntervalMs * (0.5 + random.next()))
     return hasConfiguration() ? success(undefined) : read
   }
 
@@ -99,7 +99,7 @@
   const backOff = (problem: string): Promise<void> => {
     state = problem
     failures += 1
-    return sleeper.sleep(computeBackoff(failures, options, random.next()))
+    return delay.wait(computeBackoff(failures, options, random.next()))
   }
 
   return {
@@ -109,7 +109,7 @@
         if (!outcome.ok) await backOff(outcome.error)
       }
     },
-    reconsider: () => { if (isWatcher() && !watchedLast) sleeper.wake() },
+    reconsider: () => { if (isWatcher() && !wasWatching) delay.interrupt() },
     state: () => state
   }
 }
--- a/src/services/configuration/_lib/createRootReader.ts
+++ b/src/services/configuration/_lib/createRootReader.ts
@@ -2,18 +2,18 @@
 import { decodeRoot } from '../../../decisions/decodeRoot/index.js'
 import { failure, success } from '../../../kernel/index.js'
 import type { Member, PeerTransport, Platform, Result } from '../../../types/index.js'
-import type { FoundRoot } from './createInstaller.js'
+import type { FetchedRoot } from './createConfigurationInstaller.js'
 
 export const ROOT_NAME = 'configuration/root'
 
 export type RootReader = {
   /** `undefined` when the source has no root. */
-  readonly readFromPeer: (peer: Member) => Promise<Result<FoundRoot | undefined, string>>
-  readonly readFromPlatform: () => Promise<Result<FoundRoot | undefined, string>>
+  readonly readFromPeer: (peer: Member) => Promise<Result<FetchedRoot | undefined, string>>
+  readonly readFromPlatform: () => Promise<Result<FetchedRoot | undefined, string>>
 }
 
 export const createRootReader = (platform: Platform, peerTransport: PeerTransport, peerTimeoutMs: number): RootReader => {
-  const decode = (source: string, bytes: Uint8Array | undefined): Result<FoundRoot | undefined, string> => {
+  const decode = (source: string, bytes: Uint8Array | undefined): Result<FetchedRoot | undefined, string> => {
     if (bytes === undefined) return success(undefined)
     const root = decodeRoot(bytes)
     return root.ok ? success({ root: root.value, bytes }) : failure(`root from ${source}: ${root.error.message}`)
--- a/src/services/configuration/index.ts
+++ b/src/services/configuration/index.ts
@@ -8,12 +8,12 @@
  */
 import { computeBackoff } from '../../decisions/computeBackoff/index.js'
 import { isZoneWatcher } from '../../decisions/isZoneWatcher/index.js'
-import { choosePeers } from './_lib/choosePeers.js'
+import { selectPeers } from './_lib/selectPeers.js'
 import { createChunkFetcher } from './_lib/createChunkFetcher.js'
-import { createInstaller, type FoundRoot, type Installer } from './_lib/createInstaller.js'
+import { createConfigurationInstaller, type FetchedRoot, type ConfigurationInstaller } from './_lib/createConfigurationInstaller.js'
 import { createPlatformWatch } from './_lib/createPlatformWatch.js'
 import { createRootReader } from './_lib/createRootReader.js'
-import { createSleeper } from './_lib/createSleeper.js'
+import { createInterruptibleDelay } from './_lib/createInterruptibleDelay.js'
 import type { RunningService } from '../../kernel/index.js'
 import type { Clock, Configuration, ConfigurationHolder, ConfigurationRoot, Logger, Member, PeerTransport, Platform, RandomSource } from '../../types/index.js'
 
@@ -76,23 +76,23 @@
   const { clock, random, logger, platform, peerTransport, peers } = dependencies
   const settings = { ...DEFAULTS, ...options }
   const listeners: ((configuration: Configuration) => void)[] = []
-  const refreshSleeper = createSleeper(clock)
-  const watchSleeper = createSleeper(clock)
+  const refreshDelay = createInterruptibleDelay(clock)
+  const watchDelay = createInterruptibleDelay(clock)
   const reader = createRootReader(platform, peerTransport, settings.peerTimeoutMs)
-  const installer = createInstaller(createChunkFetcher(dependencies, settings))
-  let offered: FoundRoot | undefined
+  const installer = createConfigurationInstaller(createChunkFetcher(dependencies, settings))
+  let platformRoot: FetchedRoot | undefined
   let divergence: string | undefined
   let problems: readonly string[] = []
   let running = false
-  let refreshing = false
-  let soughtGeneration = 0
+  let isRefreshing = false
+  let attemptedGeneration = 0
 
-  const others = (): readonly Member[] => peers().filter(({ nodeId, state }) => nodeId !== settings.nodeId && state !== 'dead')
-  const highestHeard = (): number => Math.max(offered?.root.generation ?? 0, ...others().map(({ generation }) => generation))
+  const listOtherMembers = (): readonly Member[] => peers().filter(({ nodeId, state }) => nodeId !== settings.nodeId && state !== 'dead')
+  const findHighestGeneration = (): number => Math.max(platformRoot?.root.generation ?? 0, ...listOtherMembers().map(({ generation }) => generation))
   const isRunning = (): boolean => running
-  const isBehind = (): boolean => highestHeard() > installer.generation()
+  const isBehind = (): boolean => findHighestGeneration() > installer.generation()
 
-  const install = async (found: FoundRoot): Promise<readonly string[]> => {
+  const install = async (found: FetchedRoot): Promise<readonly string[]> => {
     const outcome = await installer.install(found)
     if (!outcome.ok) return [outcome.error]
     if (outcome.value !== undefined) announce(outcome.value)
@@ -108,7 +108,7 @@
   /** Queries peers that have a higher generation, until this node has the highest generation that it knows of. */
   const installFromPeers = async (): Promise<readonly string[]> => {
     const found: string[] = []
-    for (const peer of choosePeers(others(), installer.generation() + 1, settings, random)) {
+    for (const peer of selectPeers(listOtherMembers(), installer.generation() + 1, settings, random)) {
       if (!isBehind()) return []
       const root = await reader.readFromPeer(peer)
       if (!root.ok) found.push(root.error)
@@ -124,36 +124,36 @@
   }
 
   const attempt = async (): Promise<void> => {
-    soughtGeneration = highestHeard()
-    const found: string[] = offered === undefined ? [] : [...await install(offered)]
+    attemptedGeneration = findHighestGeneration()
+    const found: string[] = platformRoot === undefined ? [] : [...await install(platformRoot)]
     if (isBehind()) found.push(...await installFromPeers())
     if (isBehind()) found.push(...await installFromPlatform())
     problems = found
   }
 
   const refresh = async (): Promise<void> => {
-    if (refreshing) return
-    refreshing = true
+    if (isRefreshing) return
+    isRefreshing = true
     for (let failures = 0; isRunning() && isBehind(); failures += 1) {
-      if (failures > 0) await refreshSleeper.sleep(computeBackoff(failures, settings, random.next()))
+      if (failures > 0) await refreshDelay.wait(computeBackoff(failures, settings, random.next()))
       await attempt()
     }
-    refreshing = false
+    isRefreshing = false
   }
 
   /** A generation that the last attempt did not look for ends the backoff of the next retry. */
-  const onNews = (): void => {
+  const refreshIfBehind = (): void => {
     if (!running || !isBehind()) return
-    if (refreshing && highestHeard() > soughtGeneration) refreshSleeper.wake()
+    if (isRefreshing && findHighestGeneration() > attemptedGeneration) refreshDelay.interrupt()
     refresh()
   }
 
-  const onRoot = (found: FoundRoot, generationBefore: number): void => {
+  const onRoot = (found: FetchedRoot, generationBefore: number): void => {
     divergence = describeDivergence(found.root, generationBefore, installer)
     if (divergence !== undefined) logger.error(divergence, { generation: installer.generation() })
-    if (found.root.generation <= (offered?.root.generation ?? 0)) return
-    offered = found
-    onNews()
+    if (found.root.generation <= (platformRoot?.root.generation ?? 0)) return
+    platformRoot = found
+    refreshIfBehind()
   }
 
   const watch = createPlatformWatch({
@@ -161,15 +161,15 @@
     reader,
     clock,
     random,
-    sleeper: watchSleeper,
-    isWatcher: () => isZoneWatcher(settings, others(), settings.watchersPerZone),
+    delay: watchDelay,
+    isWatcher: () => isZoneWatcher(settings, listOtherMembers(), settings.watchersPerZone),
     isRunning,
     generation: installer.generation,
     onRoot
   }, settings)
 
   const readPending: ConfigurationHolder['pending'] = () => {
-    const generation = highestHeard()
+    const generation = findHighestGeneration()
     if (isBehind()) return { generation, reason: problems.length === 0 ? 'being fetched' : [...new Set(problems)].join('; ').slice(0, MAXIMUM_REASON_LENGTH) }
     if (installer.generation() === 0) return { generation: 0, reason: watch.state() }
     return divergence === undefined ? undefined : { generation: installer.generation(), reason: divergence }
@@ -179,7 +179,7 @@
   peerTransport.handle('chunkRequest', ({ hash }) => replyWith('chunk', 'bytes', installer.readChunk(hash)))
   dependencies.onPeerChange(() => {
     watch.reconsider()
-    if (running && isBehind()) clock.setTimer(random.next() * settings.fetchSpreadMs, onNews)
+    if (running && isBehind()) clock.setTimer(random.next() * settings.fetchSpreadMs, refreshIfBehind)
   })
 
   return {
@@ -192,12 +192,12 @@
     start: () => {
       running = true
       watch.run()
-      onNews()
+      refreshIfBehind()
     },
     stop: () => {
       running = false
-      refreshSleeper.stop()
-      watchSleeper.stop()
+      refreshDelay.stop()
+      watchDelay.stop()
     }
   }
 }
@@ -214,7 +214,7 @@
  * was read, because a reply that was in transit while a peer sent a newer root is
  * only late.
  */
-const describeDivergence = (root: ConfigurationRoot, generationBefore: number, installer: Pick<Installer, 'generation' | 'applyId'>): string | undefined => {
+const describeDivergence = (root: ConfigurationRoot, generationBefore: number, installer: Pick<ConfigurationInstaller, 'generation' | 'applyId'>): string | undefined => {
   if (root.generation < generationBefore) return `the platform is back at generation ${root.generation}, below the one in force`
   if (root.generation !== installer.generation() || root.applyId === installer.applyId()) return undefined
   return `the platform has another configuration under generation ${root.generation}, applied by ${root.appliedBy}`
--- a/src/services/configuration/test.ts
+++ b/src/services/configuration/test.ts
@@ -37,13 +37,13 @@
 
   it('is announced once per generation', async () => {
     const fleet = createStartedFleet(3)
-    const heard: number[] = []
-    fleet.nodes[2]!.holder().onChange(({ generation }) => heard.push(generation))
+    const announced: number[] = []
+    fleet.nodes[2]!.holder().onChange(({ generation }) => announced.push(generation))
     await applyWeight(fleet, 1, 0)
     await fleet.run(4_000)
     await applyWeight(fleet, 2, 1)
     await fleet.run(4_000)
-    expect(heard).toEqual([1, 2])
+    expect(announced).toEqual([1, 2])
   })
 
   it('is watched by only two nodes per zone', async () => {
--- a/src/services/configurationStore/_lib/writeRoot.ts
+++ b/src/services/configurationStore/_lib/writeRoot.ts
@@ -12,7 +12,7 @@
 
 export const ROOT_NAME = 'configuration/root'
 
-export type RootWrite =
+export type RootWriteOutcome =
   | { readonly kind: 'accepted', readonly replacedBy?: ConfigurationRoot }
   /** Another root was written; this one certainly was not. */
   | { readonly kind: 'lost', readonly winner?: ConfigurationRoot }
@@ -22,7 +22,7 @@
 
 const MAXIMUM_TRIES = 6
 
-export const writeRoot = async (platform: Platform, root: ConfigurationRoot, expected: ObjectVersion | undefined, waitToRetry: (failures: number) => Promise<void>): Promise<RootWrite> => {
+export const writeRoot = async (platform: Platform, root: ConfigurationRoot, expected: ObjectVersion | undefined, waitToRetry: (failures: number) => Promise<void>): Promise<RootWriteOutcome> => {
   const bytes = encodeRoot(root)
   const write = (): Promise<Result<ObjectVersion, PlatformError>> =>
     expected === undefined ? platform.createObject(ROOT_NAME, bytes) : platform.updateObject(ROOT_NAME, bytes, expected)
@@ -40,27 +40,27 @@
   return { kind: 'unknown', message }
 }
 
-const settleConflict = async (platform: Platform, root: ConfigurationRoot, wasLost: boolean, waitToRetry: (failures: number) => Promise<void>): Promise<RootWrite> => {
+const settleConflict = async (platform: Platform, root: ConfigurationRoot, wasLost: boolean, waitToRetry: (failures: number) => Promise<void>): Promise<RootWriteOutcome> => {
   let message = ''
   for (let tries = 1; tries <= MAXIMUM_TRIES; tries += 1) {
     const found = await platform.readObject(ROOT_NAME)
-    if (found.ok) return judge(root, found.value?.bytes, wasLost)
+    if (found.ok) return determineOutcome(root, found.value?.bytes, wasLost)
     message = `the root could not be read back: ${found.error.kind}`
     if (tries < MAXIMUM_TRIES) await waitToRetry(tries)
   }
   return wasLost ? { kind: 'unknown', message } : { kind: 'lost' }
 }
 
-const judge = (root: ConfigurationRoot, bytes: Uint8Array | undefined, wasLost: boolean): RootWrite => {
+const determineOutcome = (root: ConfigurationRoot, bytes: Uint8Array | undefined, wasLost: boolean): RootWriteOutcome => {
   const found = bytes === undefined ? undefined : decodeRoot(bytes)
   if (found === undefined || !found.ok) return wasLost ? { kind: 'unknown', message: 'the platform has no readable root' } : { kind: 'lost' }
   const winner = found.value
   if (winner.applyId === root.applyId) return { kind: 'accepted' }
   if (winner.history.some(({ applyId }) => applyId === root.applyId)) return { kind: 'accepted', replacedBy: winner }
-  if (!wasLost || reachesBack(winner, root.generation)) return { kind: 'lost', winner }
+  if (!wasLost || doesHistoryReach(winner, root.generation)) return { kind: 'lost', winner }
   return { kind: 'unknown', message: `generation ${winner.generation} is in force and its history does not reach back to generation ${root.generation}` }
 }
 
 /** Checks whether the history reaches back far enough to show which apply created a generation. */
-const reachesBack = (winner: ConfigurationRoot, generation: number): boolean =>
+const doesHistoryReach = (winner: ConfigurationRoot, generation: number): boolean =>
   [winner, ...winner.history].some((applied) => applied.generation <= generation)
--- a/src/services/configurationStore/index.ts
+++ b/src/services/configurationStore/index.ts
@@ -14,7 +14,7 @@
 import { summarizeChanges } from '../../decisions/summarizeChanges/index.js'
 import { failure, success } from '../../kernel/index.js'
 import { createChunkStore, type ChunkVersions } from './_lib/createChunkStore.js'
-import { ROOT_NAME, writeRoot, type RootWrite } from './_lib/writeRoot.js'
+import { ROOT_NAME, writeRoot, type RootWriteOutcome } from './_lib/writeRoot.js'
 import type { AppliedGeneration, AuditEntry, Clock, ConfigurationRoot, ObjectVersion, Platform, RandomSource, Result, Sheet, SheetChange } from '../../types/index.js'
 import type { AuditTrail } from '../auditTrail/index.js'
 
@@ -78,7 +78,7 @@
 const MAXIMUM_HISTORY = 16
 const RETRY = { minimumBackoffMs: 200, maximumBackoffMs: 3_000 }
 
-type Prepared = { readonly root: ConfigurationRoot, readonly listed: ChunkVersions, readonly entry: AuditEntry, readonly changes: readonly SheetChange[] }
+type PreparedApply = { readonly root: ConfigurationRoot, readonly listed: ChunkVersions, readonly entry: AuditEntry, readonly changes: readonly SheetChange[] }
 
 /**
  * Creates the store through which operators read and change the configuration.
@@ -122,7 +122,7 @@
     return { kind: 'conflict', inForce, differences: compareSheets(other.value, sheet) }
   }
 
-  const prepare = (application: SheetApplication, current: StoredConfiguration | undefined, listed: ChunkVersions): Prepared & { readonly chunks: ReturnType<typeof splitSheetIntoChunks> } => {
+  const prepare = (application: SheetApplication, current: StoredConfiguration | undefined, listed: ChunkVersions): PreparedApply & { readonly chunks: ReturnType<typeof splitSheetIntoChunks> } => {
     const { sheet, appliedBy, applyId } = application
     const generation = Math.max(current?.root.generation ?? 0, application.fleetGeneration ?? 0) + 1
     const chunks = splitSheetIntoChunks(sheet, hashContent, current?.root.chunks.length)
@@ -132,18 +132,18 @@
     return { chunks, listed, changes, root: { ...applied, chunks: chunks.map(({ hash }) => hash), history }, entry: toEntry(application, applied, changes) }
   }
 
-  const tidyUp = async ({ root, listed }: Prepared, previous: ConfigurationRoot | undefined): Promise<void> => {
+  const removeObsolete = async ({ root, listed }: PreparedApply, previous: ConfigurationRoot | undefined): Promise<void> => {
     await chunkStore.sweep(listed, [root, previous])
     await auditTrail.prune()
   }
 
-  type RootWriteHandlers = { readonly [Kind in RootWrite['kind']]: (write: Extract<RootWrite, { kind: Kind }>, prepared: Prepared, current: StoredConfiguration | undefined, sheet: Sheet) => Promise<ApplyOutcome> }
+  type RootWriteHandlers = { readonly [Kind in RootWriteOutcome['kind']]: (write: Extract<RootWriteOutcome, { kind: Kind }>, prepared: PreparedApply, current: StoredConfiguration | undefined, sheet: Sheet) => Promise<ApplyOutcome> }
 
   const handlers: RootWriteHandlers = {
     accepted: async ({ replacedBy }, prepared, current) => {
       const { generation } = prepared.root
       const settled = await auditTrail.settle(prepared.entry, 'accepted', replacedBy === undefined ? undefined : `replaced since by generation ${replacedBy.generation}`)
-      if (replacedBy === undefined) await tidyUp(prepared, current?.root)
+      if (replacedBy === undefined) await removeObsolete(prepared, current?.root)
       return { kind: 'applied', generation, changes: prepared.changes, isAuditSettled: settled.ok, ...(replacedBy === undefined ? {} : { replacedBy: toApplied(replacedBy) }) }
     },
     lost: async ({ winner }, prepared, _, sheet) => {
@@ -165,7 +165,7 @@
     const listed = await chunkStore.list()
     if (!listed.ok) return { kind: 'unavailable', message: `the chunks could not be listed: ${listed.error.kind}` }
     const prepared = prepare(application, current, listed.value)
-    if (current !== undefined) await auditTrail.settleLeftOver(current.root)
+    if (current !== undefined) await auditTrail.settleAbandoned(current.root)
     const begun = await auditTrail.begin(prepared.entry)
     if (!begun.ok) return { kind: 'unavailable', message: `the audit entry could not be written: ${begun.error.kind}` }
     const chunks = await chunkStore.write(prepared.chunks, current?.root, listed.value)
@@ -197,7 +197,7 @@
       const read = await readCurrent()
       if (!read.ok) return read.error
       const current = read.value
-      const earlier = findEarlier(application.applyId, current?.root)
+      const earlier = findEarlierApply(application.applyId, current?.root)
       if (earlier !== undefined) return earlier
       if ((current?.root.generation ?? 0) !== application.plannedAgainst) return refuseOutdated(application, current)
       const isBehindFleet = (application.fleetGeneration ?? 0) > application.plannedAgainst
@@ -208,7 +208,7 @@
 }
 
 /** Finds an earlier apply with the same id, so that an operator's retry after a lost answer is not applied twice. */
-const findEarlier = (applyId: string, root?: ConfigurationRoot): ApplyOutcome | undefined => {
+const findEarlierApply = (applyId: string, root?: ConfigurationRoot): ApplyOutcome | undefined => {
   const applied = root === undefined ? undefined : [root, ...root.history].find((candidate) => candidate.applyId === applyId)
   if (applied === undefined || root === undefined) return undefined
   return { kind: 'applied', generation: applied.generation, changes: [], isAuditSettled: true, ...(applied.generation === root.generation ? {} : { replacedBy: toApplied(root) }) }
--- a/src/services/forwarding/_lib/chooseInstance.test.ts
+++ b/src/services/forwarding/_lib/chooseInstance.test.ts
@@ -32,7 +32,7 @@
       list: () => instances.filter(({ isLeaving }) => !isLeaving),
       find: (id) => instances.find((instance) => instance.id === id),
       all: () => instances,
-      removedLately: () => [],
+      recentlyRemoved: () => [],
       revision: () => 1,
       isKnown: () => true,
       warmUpLeftMs: () => 0,
--- a/src/services/forwarding/_lib/chooseInstance.ts
+++ b/src/services/forwarding/_lib/chooseInstance.ts
@@ -100,7 +100,7 @@
 const listKeepers = (dependencies: ChoiceDependencies, choice: Choice, kept: ReadonlyMap<string, number>): readonly PromptKeeper[] => {
   if (kept.size === 0) return []
   const { registry, health } = dependencies
-  return [...registry.all(), ...registry.removedLately()]
+  return [...registry.all(), ...registry.recentlyRemoved()]
     .filter((instance) => instance.service === choice.service && kept.has(formatInstanceKey(instance)) && !health.isHeld(instance))
     .filter((instance) => judge(dependencies, choice, instance) !== 'regionNotAllowed')
     .map((instance) => ({ id: instance.id, availabilityZone: instance.availabilityZone, keptTokens: kept.get(formatInstanceKey(instance)) ?? 0 }))
@@ -137,7 +137,7 @@
   const source = placement?.copyFrom
   return {
     instance,
-    copyPromptFrom: source === undefined ? undefined : registry.find(source) ?? registry.removedLately().find(({ id }) => id === source),
+    copyPromptFrom: source === undefined ? undefined : registry.find(source) ?? registry.recentlyRemoved().find(({ id }) => id === source),
     belief: describeBelief(instance.id, candidates, meanLoad, weights)
   }
 }
--- a/src/services/forwarding/_lib/createRun.ts
+++ b/src/services/forwarding/_lib/createRun.ts
@@ -51,7 +51,7 @@
 
   /** The longest time that the request may still take, in milliseconds. A non-streaming request that no server received yet counts with its full time-out. */
   const longestMs = (to: GatewayRoute): number =>
-    mayHaveRun || to.repeatPolicy === 'stream' ? deadlineAt() - clock.now() : to.timeoutMs
+    mayHaveRun || to.retryPolicy === 'stream' ? deadlineAt() - clock.now() : to.timeoutMs
 
   const dropSending = (): void => {
     const current = sending
@@ -82,7 +82,7 @@
   })
   const { finish, refuse, giveUp } = ending
 
-  const isRepeatable = (): boolean => route !== undefined && (route.repeatPolicy === 'safe' || (route.repeatPolicy === 'stream' && route.isResumable))
+  const isRepeatable = (): boolean => route !== undefined && (route.retryPolicy === 'safe' || (route.retryPolicy === 'stream' && route.isResumable))
 
   const canSendAgain = (): boolean => {
     if (route === undefined || clock.now() >= deadlineAt()) return false
@@ -261,8 +261,8 @@
       hasBegun: caller.hasBegun(),
       waitedMs: now - current.lastBytesAt,
       instanceSilentMs: health.silentMs(current.instance),
-      goalMs: route.goalMs,
-      pauseGoalMs: route.pauseGoalMs,
+      goalMs: route.latencyTargetMs,
+      pauseGoalMs: route.eventGapTargetMs,
       usualMs: context.usualTimes.usual(route.name)
     })
     if (!isDue) return
--- a/src/services/forwarding/_lib/createRunRecord.ts
+++ b/src/services/forwarding/_lib/createRunRecord.ts
@@ -31,7 +31,7 @@
 ): RunRecord => {
   const reached: Partial<Record<RunStep, number>> = {}
 
-  const policy = (): string => readRoute()?.repeatPolicy ?? 'none'
+  const policy = (): string => readRoute()?.retryPolicy ?? 'none'
 
   const log: RunRecord['log'] = (event, fields) => logger.info(event, { requestId: request.requestId, route: readRoute()?.name, ...fields })
 
--- a/src/services/forwarding/_lib/createSendingNotes.ts
+++ b/src/services/forwarding/_lib/createSendingNotes.ts
@@ -41,7 +41,7 @@
   return {
     begun: () => {
       const route = readRoute()
-      if (route?.repeatPolicy === 'stream') duration = context.streamDurations.begin(route.name, request.receivedAt)
+      if (route?.retryPolicy === 'stream') duration = context.streamDurations.begin(route.name, request.receivedAt)
     },
     head: (current, answer) => {
       heard(current)
@@ -57,7 +57,7 @@
       health.record(current.instance, { kind: 'answered', slowness })
     },
     wholeStream: (current) => {
-      if (readRoute()?.repeatPolicy !== 'stream' || current.firstBytesAt === undefined) return
+      if (readRoute()?.retryPolicy !== 'stream' || current.firstBytesAt === undefined) return
       tokenPace.note(readService(), request.tokens.output, clock.now() - current.firstBytesAt)
     },
     /** A request that can't be moved still reports a server that sends nothing on any exchange of this node. */
--- a/src/services/forwarding/_lib/createStopGate.ts
+++ b/src/services/forwarding/_lib/createStopGate.ts
@@ -36,7 +36,7 @@
         leftMs,
         limitMs: longestMs,
         arrivedAfterMs: request.receivedAt - stop.beganAt,
-        lateShare: route.repeatPolicy === 'stream' ? streamDurations.shareOver(route.name, leftMs, now) : undefined,
+        lateShare: route.retryPolicy === 'stream' ? streamDurations.shareOver(route.name, leftMs, now) : undefined,
         estimatedMs: estimateDuration({ route, outputTokens: request.tokens.output, tokenMs: readTokenMs(route) })
       })
     }
--- a/src/services/forwarding/_lib/createTokenPace.test.ts
+++ b/src/services/forwarding/_lib/createTokenPace.test.ts
@@ -2,7 +2,7 @@
 import { createTokenPace } from './createTokenPace.js'
 import { estimateDuration, USUAL_TOKEN_MS } from '../../../decisions/estimateDuration/index.js'
 
-const ROUTE = { repeatPolicy: 'stream', timeoutMs: 15_000, goalMs: 800 } as const
+const ROUTE = { retryPolicy: 'stream', timeoutMs: 15_000, latencyTargetMs: 800 } as const
 const GRACE_MS = 7_500
 const TOKENS = 1_000
 
--- a/src/services/forwarding/index.ts
+++ b/src/services/forwarding/index.ts
@@ -152,7 +152,7 @@
     const ageMs = clock.now() - request.receivedAt
     return {
       admitNow,
-      goalLeftMs: (route?.goalMs ?? 0) - ageMs,
+      goalLeftMs: (route?.latencyTargetMs ?? 0) - ageMs,
       deadlineLeftMs: Math.min(request.callerTimeoutMs ?? Infinity, route?.timeoutMs ?? Infinity) - ageMs,
       priority: route?.priority ?? Infinity
     }
@@ -190,7 +190,7 @@
         return run
       },
       openRequests: () => runs.size,
-      beginStopping: stopGate.begin
+      beginShutdown: stopGate.begin
     },
     stop: () => timer?.cancel()
   }
--- a/src/services/forwarding/test.ts
+++ b/src/services/forwarding/test.ts
@@ -11,11 +11,11 @@
   host: 'shop.example',
   pathPrefix: `/${name}/`,
   targets: [{ service: 'plain', weight: 1 }],
-  repeatPolicy: 'safe',
+  retryPolicy: 'safe',
   isResumable: false,
   timeoutMs: TIMEOUT_MS,
-  goalMs: 300,
-  pauseGoalMs: 300,
+  latencyTargetMs: 300,
+  eventGapTargetMs: 300,
   maximumAttempts: 2,
   priority: 1,
   isPublic: true,
@@ -25,9 +25,9 @@
 const CONFIGURATION: GatewayConfiguration = {
   version: 1,
   routes: [
-    createRoute('long', { goalMs: 800, priority: 0 }),
-    createRoute('short', { goalMs: 200, priority: 2 }),
-    createRoute('stream', { repeatPolicy: 'stream', isResumable: true, timeoutMs: 12_000 })
+    createRoute('long', { latencyTargetMs: 800, priority: 0 }),
+    createRoute('short', { latencyTargetMs: 200, priority: 2 }),
+    createRoute('stream', { retryPolicy: 'stream', isResumable: true, timeoutMs: 12_000 })
   ],
   services: new Map(),
   limits: { maximumHeaderBytes: 1_000, maximumBodyBytes: 1_000, headerTimeoutMs: 1_000, idleTimeoutMs: 1_000 },
@@ -67,7 +67,7 @@
       list: () => [INSTANCE, OTHER_INSTANCE],
       find: () => INSTANCE,
       all: () => [INSTANCE],
-      removedLately: () => [],
+      recentlyRemoved: () => [],
       revision: () => 1,
       isKnown: () => isKnown,
       warmUpLeftMs: () => 0,
@@ -101,7 +101,7 @@
     sent,
     answers,
     exchanges,
-    beginStopping: forwarding.api.beginStopping,
+    beginStopping: forwarding.api.beginShutdown,
     call: (requestId: string, path: string, bodyAfterMs = 0): void => {
       const request: GatewayRequest = { requestId, method: 'GET', host: 'shop.example', target: path, headers: [], credential: undefined, callerTimeoutMs: TIMEOUT_MS, lastEventId: undefined, promptParts: [], tokens: { prompt: 0, output: 1_000 }, receivedAt: clock.now() }
       const run = forwarding.api.begin(request, sink)
--- a/src/services/gatewayConfiguration/_lib/createConfigurationHistory.ts
+++ b/src/services/gatewayConfiguration/_lib/createConfigurationHistory.ts
@@ -5,24 +5,24 @@
  */
 import { compareRecords } from '../../../decisions/compareRecords/index.js'
 import { packRecords } from './packRecords.js'
-import type { ConfigurationNews, SourcedConfiguration } from '../../../types/index.js'
+import type { ConfigurationUpdate, SourcedConfiguration } from '../../../types/index.js'
 
 export type ConfigurationHistory = {
   readonly add: (sourced: SourcedConfiguration) => void
   readonly find: (revision: number) => SourcedConfiguration | undefined
   /** Returns the update from `revision` to the newest configuration; the complete one if `revision` is unknown on this node. */
-  readonly newsSince: (revision: number) => ConfigurationNews | undefined
+  readonly updateSince: (revision: number) => ConfigurationUpdate | undefined
 }
 
 /** Number of configurations kept; they share the records that did not change. */
-const CONFIGURATIONS_KEPT = 32
+const MAXIMUM_CONFIGURATIONS = 32
 
 export const createConfigurationHistory = (): ConfigurationHistory => {
   const byRevision = new Map<number, SourcedConfiguration>()
-  const newsByBase = new Map<number | undefined, ConfigurationNews>()
+  const updatesByBase = new Map<number | undefined, ConfigurationUpdate>()
   let newest: SourcedConfiguration | undefined
 
-  const createNews = (base: SourcedConfiguration | undefined, next: SourcedConfiguration): ConfigurationNews =>
+  const createUpdate = (base: SourcedConfiguration | undefined, next: SourcedConfiguration): ConfigurationUpdate =>
     base === undefined
       ? { kind: 'whole', revision: next.revision, bytes: packRecords(next.records) }
       : { kind: 'change', revision: next.revision, base: base.revision, change: compareRecords(base.records, next.records) }
@@ -30,20 +30,20 @@
   return {
     add: (sourced) => {
       newest = sourced
-      newsByBase.clear()
+      updatesByBase.clear()
       byRevision.delete(sourced.revision)
       byRevision.set(sourced.revision, sourced)
-      for (const revision of [...byRevision.keys()].slice(0, -CONFIGURATIONS_KEPT)) byRevision.delete(revision)
+      for (const revision of [...byRevision.keys()].slice(0, -MAXIMUM_CONFIGURATIONS)) byRevision.delete(revision)
     },
     find: (revision) => byRevision.get(revision),
-    newsSince: (revision) => {
+    updateSince: (revision) => {
       if (newest === undefined) return undefined
       const base = byRevision.get(revision)
-      const known = newsByBase.get(base?.revision)
+      const known = updatesByBase.get(base?.revision)
       if (known !== undefined) return known
-      const news = createNews(base, newest)
-      newsByBase.set(base?.revision, news)
-      return news
+      const update = createUpdate(base, newest)
+      updatesByBase.set(base?.revision, update)
+      return update
     }
   }
 }
--- a/src/services/gatewayConfiguration/index.ts
+++ b/src/services/gatewayConfiguration/index.ts
@@ -16,7 +16,7 @@
 import { failure } from '../../kernel/index.js'
 import type { RunningService } from '../../kernel/index.js'
 import type {
-  Clock, ConfigurationNews, ConfigurationSource, GatewayConfiguration, GatewayConfigurationHolder, Logger, Result, SourcedConfiguration, SourceError, Timer
+  Clock, ConfigurationUpdate, ConfigurationSource, GatewayConfiguration, GatewayConfigurationHolder, Logger, Result, SourcedConfiguration, SourceError, Timer
 } from '../../types/index.js'
 
 export type GatewayConfigurationDependencies = {
@@ -37,15 +37,15 @@
 
 export type RunningGatewayConfiguration = RunningService<GatewayConfigurationHolder> & {
   /** Applies a peer's reply to a request that was sent at `askedAt`; the peer's age is at most `ageMs` plus the time since then. */
-  readonly learn: (askedAt: ClockReading, ageMs: number, version: number, news: ConfigurationNews | undefined) => void
+  readonly learn: (requestedAt: ClockReading, ageMs: number, version: number, update: ConfigurationUpdate | undefined) => void
   /** Revision of the source's write that the configuration in force came from; 0 before the first. */
   readonly revision: () => number
   /** Returns the update that brings a peer with an older version to the version in force on this node. */
-  readonly newsSince: (version: number, revision: number) => ConfigurationNews | undefined
+  readonly updateSince: (version: number, revision: number) => ConfigurationUpdate | undefined
   /** Reports that a peer has the given version. */
-  readonly hint: (version: number) => void
+  readonly recordPeerVersion: (version: number) => void
   /** Registers a listener that is called when the source cannot confirm the configuration, or a peer has a newer version. */
-  readonly onNeed: (listener: () => void) => void
+  readonly onPeersNeeded: (listener: () => void) => void
   /** Whether the last read of the source succeeded. */
   readonly isSourceReachable: () => boolean
 }
@@ -55,7 +55,7 @@
 /** Pause after a failed read. Short, because requests with keys are refused soon after confirmations stop. */
 const RETRY_MS = 250
 /** The source counts as unreachable for this long after a failed read; the next scheduled read falls within this time. */
-const FAILURE_FRESH_MS = 2_500
+const UNREACHABLE_AFTER_FAILURE_MS = 2_500
 
 /**
  * Creates the holder of the configuration in force.
@@ -71,7 +71,7 @@
 export const createGatewayConfiguration = (dependencies: GatewayConfigurationDependencies, options: GatewayConfigurationOptions): RunningGatewayConfiguration => {
   const { clock, source, logger, clocks } = dependencies
   const listeners: ((configuration: GatewayConfiguration) => void)[] = []
-  const needListeners: (() => void)[] = []
+  const peersNeededListeners: (() => void)[] = []
   const waiters = new Set<() => void>()
   const history = createConfigurationHistory()
   let sourced: SourcedConfiguration | undefined
@@ -81,7 +81,7 @@
   let isStopped = false
   /** Undefined before the first response, so that a source that was never reached is logged as well. */
   let isReachable: boolean | undefined
-  let hinted = 0
+  let highestPeerVersion = 0
   let failedAt = -Infinity
 
   const version = (): number => sourced?.configuration.version ?? 0
@@ -95,7 +95,7 @@
    * requests that waited for it. A confirmation recorded first would also cover
    * keys that the new configuration revokes.
    */
-  const adopt = (next: SourcedConfiguration, from: string, noteProof: () => void): void => {
+  const adopt = (next: SourcedConfiguration, from: string, recordConfirmation: () => void): void => {
     const isNewer = next.configuration.version > version()
     if (isNewer) {
       logger.info('configuration in force', { version: next.configuration.version, before: version(), from, routes: next.configuration.routes.length })
@@ -103,7 +103,7 @@
       history.add(next)
     }
     // Another source may already have supplied a newer version than this one.
-    if (next.configuration.version === version()) noteProof()
+    if (next.configuration.version === version()) recordConfirmation()
     if (isNewer) for (const listener of listeners) listener(next.configuration)
   }
 
@@ -113,14 +113,14 @@
     for (const waiter of [...waiters]) waiter()
   }
 
-  const noteReachable = (reachable: boolean, reason: string): void => {
+  const recordReachability = (reachable: boolean, reason: string): void => {
     if (reachable === isReachable) return
     isReachable = reachable
     if (reachable) logger.info('configuration source reached')
     else logger.warn('configuration source lost', { reason, version: version() })
   }
 
-  const askOthers = (): void => { for (const listener of needListeners) listener() }
+  const requestFromPeers = (): void => { for (const listener of peersNeededListeners) listener() }
 
   const read = async (): Promise<void> => {
     if (isReading || isStopped) return
@@ -132,13 +132,13 @@
     if (isStopped) return
     if (result.ok) {
       adopt(result.value, 'source', () => confirm(sentAt, 0))
-      noteReachable(true, '')
+      recordReachability(true, '')
     } else {
       failedAt = clock.now()
-      noteReachable(false, describeSourceError(result.error))
-      askOthers()
+      recordReachability(false, describeSourceError(result.error))
+      requestFromPeers()
     }
-    const isBehind = hinted > version()
+    const isBehind = highestPeerVersion > version()
     schedule(result.ok && !isBehind ? options.readIntervalMs : pace().retryAfterMs)
   }
 
@@ -170,15 +170,15 @@
     waiters.add(finish)
   })
 
-  const decodeNews = (news: ConfigurationNews): Result<SourcedConfiguration, SourceError> => {
-    if (news.kind === 'whole') {
-      const records = unpackRecords(news.bytes)
-      return records.ok ? source.decode(records.value, news.revision) : failure({ kind: 'malformed', message: records.error })
+  const decodeUpdate = (update: ConfigurationUpdate): Result<SourcedConfiguration, SourceError> => {
+    if (update.kind === 'whole') {
+      const records = unpackRecords(update.bytes)
+      return records.ok ? source.decode(records.value, update.revision) : failure({ kind: 'malformed', message: records.error })
     }
-    const base = history.find(news.base)
-    const records = base === undefined ? undefined : patchRecords(base.records, news.change)
-    if (records === undefined) return failure({ kind: 'malformed', message: `change to revision ${news.revision} does not apply to revision ${news.base}` })
-    return source.decode(records, news.revision)
+    const base = history.find(update.base)
+    const records = base === undefined ? undefined : patchRecords(base.records, update.change)
+    if (records === undefined) return failure({ kind: 'malformed', message: `change to revision ${update.revision} does not apply to revision ${update.base}` })
+    return source.decode(records, update.revision)
   }
 
   return {
@@ -187,35 +187,35 @@
       version,
       confirmedAgeMs,
       confirm: async (waitMs) => {
-        const isLost = isReachable === false && clock.now() - failedAt < FAILURE_FRESH_MS
-        const confirmed = isLost ? Promise.resolve() : waitForConfirmation(waitMs)
+        const isUnreachable = isReachable === false && clock.now() - failedAt < UNREACHABLE_AFTER_FAILURE_MS
+        const confirmed = isUnreachable ? Promise.resolve() : waitForConfirmation(waitMs)
         // While the source is unreachable, only the scheduled reads run; else every waiting request would add a read.
-        if (!isLost) read()
-        askOthers()
+        if (!isUnreachable) read()
+        requestFromPeers()
         await confirmed
       },
       onChange: (listener) => { listeners.push(listener) }
     },
-    learn: (askedAt, ageMs, newestVersion, news) => {
-      const noteProof = (): void => confirm(askedAt, ageMs)
-      if (news !== undefined && newestVersion > version()) {
-        const decoded = decodeNews(news)
-        if (decoded.ok) adopt(decoded.value, 'peer', noteProof)
+    learn: (requestedAt, ageMs, newestVersion, update) => {
+      const recordConfirmation = (): void => confirm(requestedAt, ageMs)
+      if (update !== undefined && newestVersion > version()) {
+        const decoded = decodeUpdate(update)
+        if (decoded.ok) adopt(decoded.value, 'peer', recordConfirmation)
         else logger.warn('configuration of a peer is malformed', { version: newestVersion, reason: describeSourceError(decoded.error) })
         return
       }
       // A confirmation of an older version by a peer does not apply to this one.
-      if (newestVersion === version()) noteProof()
+      if (newestVersion === version()) recordConfirmation()
     },
     revision: () => sourced?.revision ?? 0,
-    newsSince: (known, revision) => known < version() ? history.newsSince(revision) : undefined,
-    hint: (known) => {
+    updateSince: (known, revision) => known < version() ? history.updateSince(revision) : undefined,
+    recordPeerVersion: (known) => {
       if (known <= version()) return
-      hinted = Math.max(hinted, known)
+      highestPeerVersion = Math.max(highestPeerVersion, known)
       if (isReachable === true && !pace().isRelying) read()
-      else askOthers()
+      else requestFromPeers()
     },
-    onNeed: (listener) => { needListeners.push(listener) },
+    onPeersNeeded: (listener) => { peersNeededListeners.push(listener) },
     isSourceReachable: () => isReachable === true,
     start: () => { read() },
     stop: () => {
--- a/src/services/gatewayConfiguration/test.ts
+++ b/src/services/gatewayConfiguration/test.ts
@@ -3,7 +3,7 @@
 import { createManualClock } from '../../emulator/createManualClock/index.js'
 import { failure, success } from '../../kernel/index.js'
 import { packRecords } from './_lib/packRecords.js'
-import type { ConfigurationNews, ConfigurationSource, GatewayConfiguration, Logger, SourcedConfiguration } from '../../types/index.js'
+import type { ConfigurationUpdate, ConfigurationSource, GatewayConfiguration, Logger, SourcedConfiguration } from '../../types/index.js'
 
 const SILENT: Logger = { error: () => {}, warn: () => {}, info: () => {}, debug: () => {} }
 
@@ -18,7 +18,7 @@
 
 const toSourced = (version: number): SourcedConfiguration => ({ configuration: createConfiguration(version), records: { rest: [version] }, revision: version })
 
-const packVersion = (version: number): ConfigurationNews => ({ kind: 'whole', revision: version, bytes: packRecords({ rest: [version] }) })
+const packVersion = (version: number): ConfigurationUpdate => ({ kind: 'whole', revision: version, bytes: packRecords({ rest: [version] }) })
 
 const createHolder = (read: ConfigurationSource['read']) => {
   const clock = createManualClock()
@@ -60,16 +60,16 @@
 
 describe('a reply of a peer', () => {
   // Guards against a newer configuration that cannot be decoded but confirms the older one: a revoked key stayed in use.
-  test.each<[string, ConfigurationNews]>([
+  test.each<[string, ConfigurationUpdate]>([
     ['bytes that are not packed records', { kind: 'whole', revision: 4, bytes: Buffer.from('spoilt') }],
     ['records that the source refuses', { kind: 'whole', revision: 4, bytes: packRecords({ rest: ['spoilt'] }) }],
     ['a change to a configuration that this node does not have', { kind: 'change', revision: 4, base: 2, change: { rest: [{ records: [4] }] } }],
     ['a change that names more records than there are', { kind: 'change', revision: 4, base: 3, change: { rest: [{ from: 0, count: 2 }] } }]
-  ])('with a newer configuration as %s confirms nothing', (_name, news) => {
+  ])('with a newer configuration as %s confirms nothing', (_name, update) => {
     const { holder, readClocks } = createHolder(async () => failure({ kind: 'unavailable', message: 'away' }))
     holder.learn(readClocks(), 100, 3, packVersion(3))
     expect(holder.api.confirmedAgeMs()).toBe(100)
-    holder.learn(readClocks(), 0, 4, news)
+    holder.learn(readClocks(), 0, 4, update)
     expect(holder.api.version()).toBe(3)
     expect(holder.api.confirmedAgeMs()).toBe(100)
   })
--- a/src/services/instanceRegistry/index.ts
+++ b/src/services/instanceRegistry/index.ts
@@ -12,7 +12,7 @@
 import type { SourceFollowerOptions, SourceReading } from '../_lib/createSourceFollower.js'
 import { success } from '../../kernel/index.js'
 import type { RunningService } from '../../kernel/index.js'
-import type { BackendInstance, ChangePosition, Clock, InstanceEntry, InstanceNews, InstanceRegistry, InstanceSource, Logger } from '../../types/index.js'
+import type { BackendInstance, ChangePosition, Clock, InstanceEntry, InstanceUpdate, InstanceRegistry, InstanceSource, Logger } from '../../types/index.js'
 
 export type InstanceRegistryDependencies = {
   readonly clock: Clock
@@ -29,9 +29,9 @@
 
 export type RunningInstanceRegistry = RunningService<InstanceRegistry> & {
   /** Applies a peer's list or changes, which are as of `revision` of the source; the peer last reached the source `ageMs` milliseconds ago. */
-  readonly learn: (news: InstanceNews, revision: number, ageMs: number) => void
+  readonly learn: (news: InstanceUpdate, revision: number, ageMs: number) => void
   /** Returns the changes since the position that a peer holds; empty when it holds no usable position and has the same revision. */
-  readonly newsSince: (position: ChangePosition | undefined, revision: number) => InstanceNews
+  readonly newsSince: (position: ChangePosition | undefined, revision: number) => InstanceUpdate
   readonly position: () => ChangePosition
   readonly isSourceReachable: () => boolean
   /** Called when the source cannot be read. */
@@ -189,7 +189,7 @@
       list: (service) => byService.get(service) ?? [],
       find: (id) => instances.get(id),
       all: () => [...instances.values()],
-      removedLately: removals.listDraining,
+      recentlyRemoved: removals.listDraining,
       revision: () => revision,
       isKnown: () => isKnown,
       warmUpLeftMs: warmUps.leftMs,
@@ -204,7 +204,7 @@
       onChange: (listener) => { listeners.push(listener) }
     },
     learn: (news, atRevision, ageMs) => {
-      follower.noteRelayed(ageMs)
+      follower.recordRelay(ageMs)
       if (news.isWhole && atRevision <= revision && isKnown) return
       const entries = news.instances
         .filter((instance) => !removals.isAsNewAs(instance, atRevision))
@@ -227,7 +227,7 @@
     },
     position: changes.position,
     isSourceReachable: follower.isReachable,
-    onNeed: follower.onNeed,
+    onNeed: follower.onPeersNeeded,
     start: follower.start,
     stop: follower.stop
   }
--- a/src/services/instanceRegistry/test.ts
+++ b/src/services/instanceRegistry/test.ts
@@ -3,14 +3,14 @@
 import type { RunningInstanceRegistry } from './index.js'
 import { createManualClock } from '../../emulator/createManualClock/index.js'
 import { failure, success } from '../../kernel/index.js'
-import type { BackendInstance, InstanceNews, InstanceSource, Logger } from '../../types/index.js'
+import type { BackendInstance, InstanceUpdate, InstanceSource, Logger } from '../../types/index.js'
 
 const SILENT: Logger = { error: () => {}, warn: () => {}, info: () => {}, debug: () => {} }
 
 const createServer = (id: string, changes: Partial<BackendInstance> = {}): BackendInstance =>
   ({ id, service: 'engines', address: { host: id, port: 1 }, availabilityZone: 'a', slots: 8, isLeaving: false, incarnation: 1, warmUpMs: 0, ...changes })
 
-const createNews = (changes: Partial<InstanceNews>): InstanceNews =>
+const createNews = (changes: Partial<InstanceUpdate>): InstanceUpdate =>
   ({ isWhole: false, instances: [], removed: [], position: { origin: 1, sequence: 1 }, ...changes })
 
 /** A source with one list that can change or become unavailable. */
@@ -97,14 +97,14 @@
   test('can be copied from for its drain time', async () => {
     const { clock, registry } = await startRegistry()
     registry.learn(createNews({ removed: ['engine-2'] }), 10, 0)
-    expect(registry.api.removedLately().map(({ id }) => id)).toEqual(['engine-2'])
+    expect(registry.api.recentlyRemoved().map(({ id }) => id)).toEqual(['engine-2'])
     await clock.advanceAndSettle(2_100)
-    expect(registry.api.removedLately()).toEqual([])
+    expect(registry.api.recentlyRemoved()).toEqual([])
   })
 
   test('can\'t be copied from when another server has its address', async () => {
     const { registry } = await startRegistry()
     registry.api.markGone(createServer('engine-2'), 'another backend server has its address')
-    expect(registry.api.removedLately()).toEqual([])
+    expect(registry.api.recentlyRemoved()).toEqual([])
   })
 })
--- a/src/services/knowledgeExchange/index.ts
+++ b/src/services/knowledgeExchange/index.ts
@@ -12,7 +12,7 @@
 import { readClocks } from '../../decisions/readClocks/index.js'
 import type { Clocks } from '../../decisions/measureAge/index.js'
 import type { RunningService } from '../../kernel/index.js'
-import type { ChangePosition, Clock, Member, Membership, PeerMessageOf, PeerTransport, RandomSource, Timer, ZoneDrainNews } from '../../types/index.js'
+import type { ChangePosition, Clock, Member, Membership, PeerMessageOf, PeerTransport, RandomSource, Timer, ZoneDrainSnapshot } from '../../types/index.js'
 import type { RunningGatewayConfiguration } from '../gatewayConfiguration/index.js'
 import type { HeartbeatExchange } from '../heartbeatExchange/index.js'
 import type { RunningInstanceRegistry } from '../instanceRegistry/index.js'
@@ -20,7 +20,7 @@
 
 export type KnowledgeExchange = {
   /** Queries a few random peers. */
-  readonly ask: () => void
+  readonly queryPeers: () => void
   /** Whether this node reads the source for its zone. */
   readonly isReader: () => boolean
 }
@@ -40,19 +40,19 @@
 
 export type KnowledgeExchangeOptions = {
   /** Time between two queries of a node that relies on readers, in milliseconds. */
-  readonly askIntervalMs: number
+  readonly queryIntervalMs: number
 }
 
 /** Number of peers queried at once: one of them may be cut off as well, or dead without being detected yet. */
-const PEERS_ASKED = 3
-const ASK_TIMEOUT_MS = 600
+const QUERIED_PEERS = 3
+const QUERY_TIMEOUT_MS = 600
 /** Minimum time between two rounds of queries, however many requests need one. */
-const ASK_PAUSE_MS = 150
+const MINIMUM_QUERY_INTERVAL_MS = 150
 /** Updates are batched for this long, because a release changes several entries at once. */
-const NEWS_DELAY_MS = 20
+const ANNOUNCEMENT_DELAY_MS = 20
 
 /** Time within which the zone's reader, if there is one, has announced a new version. */
-const HINT_DELAY_MS = 100
+const VERSION_QUERY_DELAY_MS = 100
 
 /**
  * Creates the exchange of one node.
@@ -69,10 +69,10 @@
   const { clock, random, transport, membership, exchange, configuration, registry, zoneDrains, clocks } = dependencies
   /** Position up to which this node has the changes of each queried peer. */
   const positions = new Map<string, ChangePosition>()
-  let askedAt = -Infinity
+  let lastQueryAt = -Infinity
   let turn = 0
-  let isNewsDue = false
-  let isHintDue = false
+  let isAnnouncementScheduled = false
+  let isVersionQueryScheduled = false
   let timer: Timer | undefined
 
   const findReaders = (): Readers => selectReaders(membership.self().availabilityZone, membership.members())
@@ -81,7 +81,7 @@
 
   const isReader = (): boolean => findReaders().own.some(isSelf)
 
-  const askPeer = async (peer: Member): Promise<void> => {
+  const queryPeer = async (peer: Member): Promise<void> => {
     const sentAt = readClocks(clocks)
     const since = positions.get(peer.nodeId)
     const result = await transport.request(
@@ -93,67 +93,67 @@
         revision: registry.api.revision(),
         ...(since === undefined ? {} : { since })
       },
-      ASK_TIMEOUT_MS
+      QUERY_TIMEOUT_MS
     )
     if (!result.ok || result.value.kind !== 'knowledge') return
-    const { version, ageMs, configuration: news, revision, instances } = result.value
+    const { version, ageMs, configuration: update, revision, instances } = result.value
     if (result.value.zoneDrains !== undefined) zoneDrains?.learn(result.value.zoneDrains, ageMs)
-    configuration.learn(sentAt, ageMs, version, news)
+    configuration.learn(sentAt, ageMs, version, update)
     if (isReader() && registry.isSourceReachable()) return
     registry.learn(instances, revision, ageMs)
     positions.set(peer.nodeId, instances.position)
   }
 
-  const listPeers = (): readonly Member[] => {
+  const shufflePeers = (): readonly Member[] => {
     const peers = membership.members().filter((member) => !isSelf(member) && member.state !== 'dead')
     return peers.map((peer) => ({ peer, order: random.next() })).sort((left, right) => left.order - right.order).map(({ peer }) => peer)
   }
 
-  const ask = (): void => {
-    if (clock.now() - askedAt < ASK_PAUSE_MS) return
-    askedAt = clock.now()
-    for (const peer of listPeers().slice(0, PEERS_ASKED)) askPeer(peer)
+  const queryPeers = (): void => {
+    if (clock.now() - lastQueryAt < MINIMUM_QUERY_INTERVAL_MS) return
+    lastQueryAt = clock.now()
+    for (const peer of shufflePeers().slice(0, QUERIED_PEERS)) queryPeer(peer)
   }
 
-  const askReader = (): void => {
-    timer = clock.setTimer(options.askIntervalMs, askReader)
+  const queryReader = (): void => {
+    timer = clock.setTimer(options.queryIntervalMs, queryReader)
     const { own, asked } = findReaders()
     if (asked.length === 0 || own.some(isSelf)) return
     turn += 1
     const reader = asked[turn % asked.length]
-    if (reader !== undefined) askPeer(reader)
+    if (reader !== undefined) queryPeer(reader)
   }
 
   /** Every message carries all drains: they are few, and a node that misses one would send requests to a drained zone. */
-  const tellDrains = (): { readonly zoneDrains?: ZoneDrainNews } => {
-    const news = zoneDrains?.news()
-    return news === undefined ? {} : { zoneDrains: news }
+  const collectDrains = (): { readonly zoneDrains?: ZoneDrainSnapshot } => {
+    const snapshot = zoneDrains?.news()
+    return snapshot === undefined ? {} : { zoneDrains: snapshot }
   }
 
-  const tellZone = (): void => {
-    isNewsDue = false
+  const announceToZone = (): void => {
+    isAnnouncementScheduled = false
     const { nodeId, availabilityZone } = membership.self()
     const readers = new Set(findReaders().own.map((reader) => reader.nodeId))
     if (!readers.has(nodeId)) return
-    const message = { kind: 'knowledgeNews', source: nodeId, version: configuration.api.version(), position: registry.position(), ...tellDrains() } as const
+    const message = { kind: 'knowledgeNews', source: nodeId, version: configuration.api.version(), position: registry.position(), ...collectDrains() } as const
     for (const member of membership.liveMembers()) {
       if (member.availabilityZone === availabilityZone && !readers.has(member.nodeId)) transport.send(member.address, message)
     }
   }
 
-  const noteNews = (): void => {
-    if (isNewsDue) return
-    isNewsDue = true
-    clock.setTimer(NEWS_DELAY_MS, tellZone)
+  const scheduleAnnouncement = (): void => {
+    if (isAnnouncementScheduled) return
+    isAnnouncementScheduled = true
+    clock.setTimer(ANNOUNCEMENT_DELAY_MS, announceToZone)
   }
 
-  const takeNews = ({ source, version, position, zoneDrains: drainNews }: PeerMessageOf<'knowledgeNews'>): void => {
-    if (drainNews !== undefined) zoneDrains?.learn(drainNews)
+  const handleAnnouncement = ({ source, version, position, zoneDrains: drainSnapshot }: PeerMessageOf<'knowledgeNews'>): void => {
+    if (drainSnapshot !== undefined) zoneDrains?.learn(drainSnapshot)
     const sender = membership.members().find(({ nodeId }) => nodeId === source)
     if (sender === undefined || isReader()) return
     const known = positions.get(source)
     const isKnown = known?.origin === position.origin && known.sequence >= position.sequence
-    if (version > configuration.api.version() || !isKnown) askPeer(sender)
+    if (version > configuration.api.version() || !isKnown) queryPeer(sender)
   }
 
   /**
@@ -161,44 +161,44 @@
    * the version from its reader within `HINT_DELAY_MS`. The delay matters because a recently started sender has no earlier
    * version, so that its reply would be a complete configuration instead of a change.
    */
-  const takeHeartbeat = (member: Member): void => {
+  const handleHeartbeat = (member: Member): void => {
     if (member.generation <= configuration.api.version()) return
-    configuration.hint(member.generation)
-    if (isReader() || isHintDue) return
-    isHintDue = true
-    clock.setTimer(HINT_DELAY_MS, () => {
-      isHintDue = false
-      if (member.generation > configuration.api.version()) askPeer(member)
+    configuration.recordPeerVersion(member.generation)
+    if (isReader() || isVersionQueryScheduled) return
+    isVersionQueryScheduled = true
+    clock.setTimer(VERSION_QUERY_DELAY_MS, () => {
+      isVersionQueryScheduled = false
+      if (member.generation > configuration.api.version()) queryPeer(member)
     })
   }
 
   return {
-    api: { ask, isReader },
+    api: { queryPeers, isReader },
     start: () => {
       transport.handle('knowledgeRequest', ({ version, configurationRevision, revision, since }) => {
-        const news = configuration.newsSince(version, configurationRevision)
+        const update = configuration.updateSince(version, configurationRevision)
         return {
           kind: 'knowledge',
           version: configuration.api.version(),
           ageMs: configuration.api.confirmedAgeMs(),
           revision: registry.api.revision(),
           instances: registry.newsSince(since, revision),
-          ...tellDrains(),
-          ...(news === undefined ? {} : { configuration: news })
+          ...collectDrains(),
+          ...(update === undefined ? {} : { configuration: update })
         }
       })
-      transport.handle('knowledgeNews', (news) => {
-        takeNews(news)
+      transport.handle('knowledgeNews', (announcement) => {
+        handleAnnouncement(announcement)
         return { kind: 'none' }
       })
-      exchange.addListener(({ member }) => takeHeartbeat(member))
-      configuration.onNeed(ask)
-      registry.onNeed(ask)
-      zoneDrains?.onNeed(ask)
-      configuration.api.onChange(noteNews)
-      registry.api.onChange(noteNews)
-      zoneDrains?.api.onChange(noteNews)
-      timer = clock.setTimer(options.askIntervalMs, askReader)
+      exchange.addListener(({ member }) => handleHeartbeat(member))
+      configuration.onPeersNeeded(queryPeers)
+      registry.onNeed(queryPeers)
+      zoneDrains?.onNeed(queryPeers)
+      configuration.api.onChange(scheduleAnnouncement)
+      registry.api.onChange(scheduleAnnouncement)
+      zoneDrains?.api.onChange(scheduleAnnouncement)
+      timer = clock.setTimer(options.queryIntervalMs, queryReader)
     },
     stop: () => timer?.cancel()
   }
--- a/src/services/membership/index.ts
+++ b/src/services/membership/index.ts
@@ -4,8 +4,8 @@
  * spreads state changes, as in SWIM. The views of nodes may differ for seconds;
  * no invariant depends on equal views.
  */
-import { createRumours } from './_lib/createRumours.js'
-import { createSilence } from './_lib/createSilence.js'
+import { createGossipQueue } from './_lib/createGossipQueue.js'
+import { createFailureDetector } from './_lib/createFailureDetector.js'
 import { mergeMember } from '../../decisions/mergeMember/index.js'
 import { refuteRumour } from '../../decisions/refuteRumour/index.js'
 import { selectHeartbeatTargets } from '../../decisions/selectHeartbeatTargets/index.js'
@@ -49,15 +49,15 @@
  * milliseconds. After a loss of power all nodes start within a second; with the heartbeat interval, a
  * heartbeat to a node that is not listening yet would leave this one without peers for another interval.
  */
-const SEEK_INTERVAL_MS = 150
-const SEEK_LIMIT_MS = 3_000
+const PEER_SEARCH_INTERVAL_MS = 150
+const PEER_SEARCH_LIMIT_MS = 3_000
 /** Number of requests for the complete member list after the start, and milliseconds between them. */
-const MEMBER_ASKS = 3
-const MEMBER_ASK_INTERVAL_MS = 1_000
+const MAXIMUM_MEMBER_REQUESTS = 3
+const MEMBER_REQUEST_INTERVAL_MS = 1_000
 /** A gap between ticks of more than this many heartbeat intervals means that this process was paused. */
 const PAUSE_TICKS = 3
 
-type HeartbeatMarks = Pick<Heartbeat, 'membersWanted' | 'echoWanted' | 'isRoster'>
+type HeartbeatFlags = Pick<Heartbeat, 'membersWanted' | 'echoWanted' | 'isRoster'>
 
 const isSame = (one: PeerAddress, other: PeerAddress): boolean => one.host === other.host && one.port === other.port
 
@@ -79,13 +79,13 @@
   const fanOut = options.fanOut ?? DEFAULT_FAN_OUT
   const peers = new Map<string, Member>()
   const changedAt = new Map<string, number>()
-  const rumours = createRumours()
-  const silence = createSilence()
+  const gossipQueue = createGossipQueue()
+  const failureDetector = createFailureDetector()
   const listeners: (() => void)[] = []
   let timer: Timer | undefined
   let lastTickAt = clock.now()
   let startedAt = -Infinity
-  let memberAsks = 0
+  let memberRequests = 0
   // The wall time gives a restarted node, which has no stored state, a higher incarnation than before.
   let ownRecord: Member = {
     nodeId: settings.nodeId,
@@ -105,39 +105,39 @@
 
   const notify = (): void => { for (const listen of listeners) listen() }
 
-  const keep = (member: Member, isNews = true): void => {
+  const storeMember = (member: Member, isRecentChange = true): void => {
     const before = peers.get(member.nodeId)
     if (before === member) return
     peers.set(member.nodeId, member)
     if (before?.state === member.state && before.incarnation === member.incarnation) return
     changedAt.set(member.nodeId, clock.now())
-    if (isNews || before !== undefined) rumours.add(member.nodeId)
+    if (isRecentChange || before !== undefined) gossipQueue.add(member.nodeId)
     logger?.info('member changed', { member: member.nodeId, state: member.state, incarnation: member.incarnation })
     notify()
   }
 
-  const mergeOwnRecord = (heard: Member): void => {
-    const refuted = refuteRumour(self(), heard)
+  const mergeOwnRecord = (reported: Member): void => {
+    const refuted = refuteRumour(self(), reported)
     if (refuted === ownRecord) return
     ownRecord = refuted
-    logger?.warn('refuted a rumour about this node', { state: heard.state, incarnation: refuted.incarnation })
+    logger?.warn('refuted a rumour about this node', { state: reported.state, incarnation: refuted.incarnation })
   }
 
-  const merge = (member: Member, isNews = true): void => {
+  const merge = (member: Member, isRecentChange = true): void => {
     if (member.nodeId === settings.nodeId) return mergeOwnRecord(member)
     const known = peers.get(member.nodeId)
     if (known === undefined && member.state === 'dead') return
-    keep(mergeMember(known, member), isNews)
+    storeMember(mergeMember(known, member), isRecentChange)
   }
 
-  const sendTo = (receiver: Member, news: readonly Member[]): void => {
-    const isOldNews = (member: Member): boolean => member.nodeId === receiver.nodeId && member.state === 'live'
-    const rumoursToTell = news.filter((member) => !isOldNews(member))
-    transport.send(receiver.address, { kind: 'heartbeat', member: self(), rumours: rumoursToTell, ...exchange.collect(receiver) })
+  const sendTo = (receiver: Member, updates: readonly Member[]): void => {
+    const isKnownToReceiver = (member: Member): boolean => member.nodeId === receiver.nodeId && member.state === 'live'
+    const updatesToSend = updates.filter((member) => !isKnownToReceiver(member))
+    transport.send(receiver.address, { kind: 'heartbeat', member: self(), rumours: updatesToSend, ...exchange.collect(receiver) })
   }
 
-  const sendHeartbeat = (address: PeerAddress, news: readonly Member[], marks: HeartbeatMarks = {}): void => {
-    transport.send(address, { kind: 'heartbeat', member: self(), rumours: news, ...marks })
+  const sendHeartbeat = (address: PeerAddress, updates: readonly Member[], flags: HeartbeatFlags = {}): void => {
+    transport.send(address, { kind: 'heartbeat', member: self(), rumours: updates, ...flags })
   }
 
   const sendAllMembers = (newcomer: Member): void => {
@@ -149,32 +149,32 @@
     const { member } = heartbeat
     if (member.nodeId === settings.nodeId) return mergeOwnRecord(member)
     merge(member)
-    silence.heard(member.nodeId, clock.now())
+    failureDetector.recordHeartbeat(member.nodeId, clock.now())
     const held = peers.get(member.nodeId)
     // The sender is up although the fleet has it as suspect or dead: it was paused or
     // cut off, and its own record cannot override that. The reply lets it refute the suspicion.
     if (held !== undefined && held.state !== member.state) sendHeartbeat(member.address, [held])
-    for (const rumour of heartbeat.rumours) merge(rumour, heartbeat.isRoster !== true)
+    for (const update of heartbeat.rumours) merge(update, heartbeat.isRoster !== true)
     if (heartbeat.membersWanted === true) sendAllMembers(member)
     if (heartbeat.echoWanted === true) sendHeartbeat(member.address, [])
     exchange.deliver(heartbeat)
   }
 
-  const reachablePeers = (): readonly Member[] => [...peers.values()].filter((peer) => peer.state !== 'dead')
+  const listReachablePeers = (): readonly Member[] => [...peers.values()].filter((peer) => peer.state !== 'dead')
 
-  const suspectSilent = (now: number): void => {
-    for (const nodeId of silence.findSilent(now, settings.suspectAfterMs)) {
+  const suspectUnresponsive = (now: number): void => {
+    for (const nodeId of failureDetector.findUnresponsive(now, settings.suspectAfterMs)) {
       const peer = peers.get(nodeId)
-      if (peer?.state === 'live') keep({ ...peer, state: 'suspect' })
+      if (peer?.state === 'live') storeMember({ ...peer, state: 'suspect' })
       // A leaving node stops sending heartbeats by design and is not suspected first.
-      if (peer?.state === 'leaving' && silence.findSilent(now, settings.deadAfterMs).includes(nodeId)) keep({ ...peer, state: 'dead' })
+      if (peer?.state === 'leaving' && failureDetector.findUnresponsive(now, settings.deadAfterMs).includes(nodeId)) storeMember({ ...peer, state: 'dead' })
     }
   }
 
   // Nodes with different views disagree on who watches whom. A node that correctly sends its heartbeats
   // to others would be suspected, and the gossip about it and its refutation would keep the views different.
-  const askSilent = (now: number): void => {
-    for (const nodeId of silence.findSilent(now, settings.suspectAfterMs / 2)) {
+  const requestHeartbeats = (now: number): void => {
+    for (const nodeId of failureDetector.findUnresponsive(now, settings.suspectAfterMs / 2)) {
       const peer = peers.get(nodeId)
       if (peer?.state === 'live') sendHeartbeat(peer.address, [], { echoWanted: true })
     }
@@ -182,12 +182,12 @@
 
   // When all nodes start at once, the first peer knew few members when it was queried, and
   // gossip about every join takes many rounds.
-  const askForMembers = (now: number): void => {
-    if (memberAsks >= MEMBER_ASKS || now < startedAt + (memberAsks + 1) * MEMBER_ASK_INTERVAL_MS) return
-    const up = reachablePeers()
-    const peer = up[Math.floor(random.next() * up.length)]
+  const requestMembers = (now: number): void => {
+    if (memberRequests >= MAXIMUM_MEMBER_REQUESTS || now < startedAt + (memberRequests + 1) * MEMBER_REQUEST_INTERVAL_MS) return
+    const reachable = listReachablePeers()
+    const peer = reachable[Math.floor(random.next() * reachable.length)]
     if (peer === undefined) return
-    memberAsks += 1
+    memberRequests += 1
     sendHeartbeat(peer.address, [], { membersWanted: true })
   }
 
@@ -195,7 +195,7 @@
     const graceMs = settings.deadAfterMs - settings.suspectAfterMs
     for (const [nodeId, peer] of peers) {
       const since = changedAt.get(nodeId) ?? now
-      if (peer.state === 'suspect' && now - since >= graceMs) keep({ ...peer, state: 'dead' })
+      if (peer.state === 'suspect' && now - since >= graceMs) storeMember({ ...peer, state: 'dead' })
       if (peer.state === 'dead' && now - since >= (options.forgetAfterMs ?? DEFAULT_FORGET_AFTER_MS)) forget(nodeId)
     }
   }
@@ -209,7 +209,7 @@
   const findUnknownAddresses = (): readonly PeerAddress[] => {
     const listed = (vmList.current() ?? []).filter((vm) => vm.kind === 'router').map((vm) => parseAddress(vm.address))
     const dead = [...peers.values()].filter((peer) => peer.state === 'dead').map((peer) => peer.address)
-    const known = [self().address, ...reachablePeers().map((peer) => peer.address)]
+    const known = [self().address, ...listReachablePeers().map((peer) => peer.address)]
     const candidates = [...settings.seedPeers, ...listed, ...dead]
     return candidates.filter((address) => !known.some((other) => isSame(other, address)))
   }
@@ -217,7 +217,7 @@
   // The two sides of a healed partition have each other as dead and exchange no heartbeats.
   // Contacting a few addresses of dead members and of seeds at each tick joins them again.
   const contactUnknownAddresses = (): void => {
-    const isAlone = reachablePeers().length === 0
+    const isAlone = listReachablePeers().length === 0
     const unknownAddresses = [...findUnknownAddresses()]
     const count = isAlone ? CONTACTS_PER_TICK_ALONE : CONTACTS_PER_TICK
     for (let contacted = 0; contacted < count && unknownAddresses.length > 0; contacted++) {
@@ -227,26 +227,26 @@
   }
 
   const sendHeartbeats = (): void => {
-    const targets = selectHeartbeatTargets(self(), reachablePeers(), fanOut, random.next)
-    silence.watch(targets.watched.map((peer) => peer.nodeId), clock.now())
-    const news = rumours.take(peers, random.next)
-    for (const receiver of [...targets.watchers, ...targets.picked]) sendTo(receiver, news)
+    const targets = selectHeartbeatTargets(self(), listReachablePeers(), fanOut, random.next)
+    failureDetector.watch(targets.watched.map((peer) => peer.nodeId), clock.now())
+    const updates = gossipQueue.take(peers, random.next)
+    for (const receiver of [...targets.watchers, ...targets.picked]) sendTo(receiver, updates)
   }
 
   const tick = (): void => {
     const now = clock.now()
     // After a pause of this process all heartbeats look overdue, because this node did not
     // process them. Evaluating them now would declare the whole fleet dead.
-    if (now - lastTickAt > PAUSE_TICKS * settings.heartbeatIntervalMs) silence.reset(now)
+    if (now - lastTickAt > PAUSE_TICKS * settings.heartbeatIntervalMs) failureDetector.reset(now)
     lastTickAt = now
-    suspectSilent(now)
+    suspectUnresponsive(now)
     declareDead(now)
     sendHeartbeats()
-    askSilent(now)
-    askForMembers(now)
+    requestHeartbeats(now)
+    requestMembers(now)
     contactUnknownAddresses()
-    const isSeeking = reachablePeers().length === 0 && now < startedAt + SEEK_LIMIT_MS
-    timer = clock.setTimer(isSeeking ? SEEK_INTERVAL_MS : settings.heartbeatIntervalMs, tick)
+    const isSearching = listReachablePeers().length === 0 && now < startedAt + PEER_SEARCH_LIMIT_MS
+    timer = clock.setTimer(isSearching ? PEER_SEARCH_INTERVAL_MS : settings.heartbeatIntervalMs, tick)
   }
 
   return {
--- a/src/services/membership/test.ts
+++ b/src/services/membership/test.ts
@@ -23,9 +23,9 @@
     ...clock,
     setTimer: (delayMs, callback) => {
       const run = (): void => {
-        const wakesAt = pausedUntil.get(name) ?? 0
-        if (clock.now() >= wakesAt) return callback()
-        clock.setTimer(wakesAt - clock.now(), run)
+        const resumesAt = pausedUntil.get(name) ?? 0
+        if (clock.now() >= resumesAt) return callback()
+        clock.setTimer(resumesAt - clock.now(), run)
       }
       return clock.setTimer(delayMs, run)
     }
--- a/src/services/promptDirectory/_lib/createPlacesRecovery.test.ts
+++ b/src/services/promptDirectory/_lib/createPlacesRecovery.test.ts
@@ -4,7 +4,7 @@
 import { createManualClock } from '../../../emulator/createManualClock/index.js'
 import { createMemoryPeerNetwork } from '../../../emulator/createMemoryPeerNetwork/index.js'
 import { success } from '../../../kernel/index.js'
-import type { BackendInstance, KeptParts, Logger, Member } from '../../../types/index.js'
+import type { BackendInstance, CachedParts, Logger, Member } from '../../../types/index.js'
 
 const SILENT: Logger = { error: () => {}, warn: () => {}, info: () => {}, debug: () => {} }
 const ANSWER_MS = 10
@@ -29,7 +29,7 @@
   const nodes = members.map((self, index) => {
     const transport = network.createTransport(self.address)
     const known = new Set<string>(index < restarted ? [] : engines.map(formatInstanceKey))
-    const noteAll = (kept: readonly KeptParts[]): void => { for (const { server } of kept) known.add(server) }
+    const noteAll = (kept: readonly CachedParts[]): void => { for (const { server } of kept) known.add(server) }
     const recovery = createPlacesRecovery({
       clock,
       transport,
--- a/src/services/promptDirectory/_lib/createPlacesRecovery.ts
+++ b/src/services/promptDirectory/_lib/createPlacesRecovery.ts
@@ -9,7 +9,7 @@
 import { rankMembers } from '../../../decisions/rankMembers/index.js'
 import { selectZoneReaders } from '../../../decisions/selectZoneReaders/index.js'
 import { describeSourceError } from '../../../decisions/describeSourceError/index.js'
-import type { BackendInstance, Clock, EngineMemorySource, InstanceRegistry, KeptParts, Logger, Member, Membership, PeerTransport, RandomSource } from '../../../types/index.js'
+import type { BackendInstance, Clock, PromptCacheSource, InstanceRegistry, CachedParts, Logger, Member, Membership, PeerTransport, RandomSource } from '../../../types/index.js'
 import { formatInstanceKey } from '../../../decisions/formatInstanceKey/index.js'
 
 export type PlacesRecoverySources = {
@@ -19,7 +19,7 @@
   /** Whether the list of engines has been read; `onKnown` registers a listener for changes of this state. */
   readonly areEnginesKnown: () => boolean
   readonly onKnown: (listener: () => void) => void
-  readonly memory: EngineMemorySource
+  readonly memory: PromptCacheSource
   readonly availabilityZone: string
   /** Whether a backend server is a model engine and so has a prompt cache. */
   readonly isEngine: (instance: BackendInstance) => boolean
@@ -31,7 +31,7 @@
   readonly membership: Pick<Membership, 'liveMembers' | 'self'>
   readonly recovery: PlacesRecoverySources
   readonly isKnown: (instanceKey: string) => boolean
-  readonly noteAll: (kept: readonly KeptParts[]) => void
+  readonly noteAll: (kept: readonly CachedParts[]) => void
   /** Announces a location to peers. */
   readonly tell: (part: string, instanceKey: string) => void
 }
--- a/src/services/promptDirectory/index.ts
+++ b/src/services/promptDirectory/index.ts
@@ -6,7 +6,7 @@
  */
 import { LRUCache } from 'lru-cache'
 import type { RunningService } from '../../kernel/index.js'
-import type { Clock, KeptParts, Membership, PeerTransport, PromptPart, Timer } from '../../types/index.js'
+import type { Clock, CachedParts, Membership, PeerTransport, PromptPart, Timer } from '../../types/index.js'
 import { createPlaceNews } from './_lib/createPlaceNews.js'
 import { growTo } from './_lib/growTo.js'
 import { createPlacesRecovery } from './_lib/createPlacesRecovery.js'
@@ -80,12 +80,12 @@
     if (oldest !== undefined) servers.delete(oldest)
   }
 
-  const noteAll = (kept: readonly KeptParts[]): void => {
+  const noteAll = (kept: readonly CachedParts[]): void => {
     for (const { server, parts } of kept) for (const part of parts) note(part, server)
   }
 
   /** The most recently used parts that fit one message; the parts of each server are listed oldest first. */
-  const listPlaces = (): readonly KeptParts[] => {
+  const listPlaces = (): readonly CachedParts[] => {
     const byServer = new Map<string, string[]>()
     let count = 0
     for (const [part, holders] of places.entries()) {
--- a/src/services/vmList/index.ts
+++ b/src/services/vmList/index.ts
@@ -28,7 +28,7 @@
 const JITTER = 0.25
 
 /** Number of intervals after which a node that relies on readers reads the list itself, in case they do not. */
-const INTERVALS_OF_OTHERS = 12
+const MAXIMUM_SKIPPED_INTERVALS = 12
 
 /**
  * Creates the reader of the VM list.
@@ -49,7 +49,7 @@
   let intervalsSkipped = 0
 
   const schedule = (): void => {
-    timer = clock.setTimer(intervalMs * (1 + JITTER * (random.next() - 0.5)), () => { visit() })
+    timer = clock.setTimer(intervalMs * (1 + JITTER * (random.next() - 0.5)), () => { tick() })
   }
 
   const read = async (): Promise<void> => {
@@ -60,9 +60,9 @@
     for (const listen of listeners) listen(result.value)
   }
 
-  const visit = async (): Promise<void> => {
+  const tick = async (): Promise<void> => {
     intervalsSkipped += 1
-    if (isReader() || intervalsSkipped >= INTERVALS_OF_OTHERS) await read()
+    if (isReader() || intervalsSkipped >= MAXIMUM_SKIPPED_INTERVALS) await read()
     if (!isStopped) schedule()
   }
 
--- a/src/services/warmUp/test.ts
+++ b/src/services/warmUp/test.ts
@@ -23,7 +23,7 @@
 const CONFIGURATION: GatewayConfiguration = {
   version: 1,
   routes: [],
-  services: new Map([['engines', { name: 'engines', healthPath: '/health', maximumConnections: 10, isEngine: true, warmUp: { durationMs: WARM_UP_MS, requestsPerSecond: RATE } }]]),
+  services: new Map([['engines', { name: 'engines', healthPath: '/health', maximumConnections: 10, isModelService: true, warmUp: { durationMs: WARM_UP_MS, requestsPerSecond: RATE } }]]),
   limits: { maximumHeaderBytes: 1, maximumBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
   needsKeys: false,
   accountsByKey: new Map()
--- a/src/services/zoneDrains/index.ts
+++ b/src/services/zoneDrains/index.ts
@@ -7,7 +7,7 @@
 import type { SourceFollowerOptions, SourceReading } from '../_lib/createSourceFollower.js'
 import { success } from '../../kernel/index.js'
 import type { RunningService } from '../../kernel/index.js'
-import type { Clock, Logger, ZoneDrainNews, ZoneDrains, ZoneDrainSource } from '../../types/index.js'
+import type { Clock, Logger, ZoneDrainSnapshot, ZoneDrains, ZoneDrainSource } from '../../types/index.js'
 
 export type ZoneDrainsDependencies = {
   readonly clock: Clock
@@ -24,9 +24,9 @@
 
 export type RunningZoneDrains = RunningService<ZoneDrains> & {
   /** Applies the drains that a peer sent; the peer last reached the source `ageMs` milliseconds ago, `undefined` when that is unknown. */
-  readonly learn: (news: ZoneDrainNews, ageMs?: number) => void
+  readonly learn: (news: ZoneDrainSnapshot, ageMs?: number) => void
   /** Returns the drains to send to peers; `undefined` before the first reading. */
-  readonly news: () => ZoneDrainNews | undefined
+  readonly news: () => ZoneDrainSnapshot | undefined
   /** Called when the source cannot be read. */
   readonly onNeed: (listener: () => void) => void
 }
@@ -66,7 +66,7 @@
 
   const publish = (): void => { for (const listener of listeners) listener() }
 
-  const replaceAll = (news: ZoneDrainNews, from: string): void => {
+  const replaceAll = (news: ZoneDrainSnapshot, from: string): void => {
     // A peer may have sent a newer state while the reading was under way.
     if (isKnown && news.revision < revision) return
     revision = news.revision
@@ -117,11 +117,11 @@
       onChange: (listener) => { listeners.push(listener) }
     },
     learn: (news, ageMs) => {
-      if (ageMs !== undefined) follower.noteRelayed(ageMs)
+      if (ageMs !== undefined) follower.recordRelay(ageMs)
       if (!isKnown || news.revision > revision) replaceAll(news, 'peer')
     },
     news: () => isKnown ? { revision, zones: [...drained] } : undefined,
-    onNeed: follower.onNeed,
+    onNeed: follower.onPeersNeeded,
     start: follower.start,
     stop: follower.stop
   }
--- a/src/services/zoneDrains/test.ts
+++ b/src/services/zoneDrains/test.ts
@@ -2,9 +2,9 @@
 import { createZoneDrains } from './index.js'
 import { createManualClock } from '../../emulator/createManualClock/index.js'
 import { failure, success } from '../../kernel/index.js'
-import type { LogFields, Logger, ZoneDrainChange, ZoneDrainNews, ZoneDrainSource } from '../../types/index.js'
+import type { LogFields, Logger, ZoneDrainChange, ZoneDrainSnapshot, ZoneDrainSource } from '../../types/index.js'
 
-const start = async (initial: ZoneDrainNews = { revision: 10, zones: [] }, areLogsKept = true) => {
+const start = async (initial: ZoneDrainSnapshot = { revision: 10, zones: [] }, areLogsKept = true) => {
   const clock = createManualClock()
   const lines: (LogFields & { readonly message: string })[] = []
   const write = (message: string, fields: LogFields = {}): void => { if (areLogsKept) lines.push({ message, ...fields }) }
--- a/src/types/configuration.ts
+++ b/src/types/configuration.ts
@@ -90,7 +90,7 @@
 }
 
 /** An error in one record, before its position in the file is determined. */
-export type SheetFault = {
+export type SheetRecordProblem = {
   readonly record: keyof Sheet
   /** Position of the record in its list, from 0. */
   readonly index: number
--- a/src/types/forwarding.ts
+++ b/src/types/forwarding.ts
@@ -15,5 +15,5 @@
   readonly begin: (request: GatewayRequest, sink: CallerSink) => ForwardingRun
   readonly openRequests: () => number
   /** Starts the shutdown: requests that would not finish before `endsAt` (monotonic milliseconds) are refused as not run. */
-  readonly beginStopping: (endsAt: number) => void
+  readonly beginShutdown: (endsAt: number) => void
 }
--- a/src/types/gateway.ts
+++ b/src/types/gateway.ts
@@ -7,7 +7,7 @@
 import type { Result } from './result.js'
 
 /** Whether a request may be retried: always (`safe`), never (`unsafe`), or only by resuming a stream after an event (`stream`). */
-export type RepeatPolicy = 'safe' | 'unsafe' | 'stream'
+export type RetryPolicy = 'safe' | 'unsafe' | 'stream'
 
 export type GatewayTarget = {
   readonly service: string
@@ -21,15 +21,15 @@
   /** Begins and ends with a slash. */
   readonly pathPrefix: string
   readonly targets: readonly GatewayTarget[]
-  readonly repeatPolicy: RepeatPolicy
+  readonly retryPolicy: RetryPolicy
   /** Whether a stream can be resumed on another backend server after an event id. */
   readonly isResumable: boolean
   /** Maximum time until the final answer, in milliseconds. */
   readonly timeoutMs: number
   /** Latency target in milliseconds for the answer, or for the first event of a stream. */
-  readonly goalMs: number
+  readonly latencyTargetMs: number
   /** Target for the gap between two events of a stream, in milliseconds. */
-  readonly pauseGoalMs: number
+  readonly eventGapTargetMs: number
   /** Maximum number of backend servers that one request may be sent to. */
   readonly maximumAttempts: number
   /** 0 is the most urgent. */
@@ -46,7 +46,7 @@
   /** Maximum number of connections that one backend server accepts from all callers together. */
   readonly maximumConnections: number
   /** Whether its backend servers are model engines, which cache prompt prefixes. */
-  readonly isEngine: boolean
+  readonly isModelService: boolean
   /** Request rate that a backend server can take while it warms up after its start; omitted when it can take full load at once. */
   readonly warmUp?: { readonly durationMs: number, readonly requestsPerSecond: number }
 }
--- a/src/types/gatewayEvents.ts
+++ b/src/types/gatewayEvents.ts
@@ -13,54 +13,54 @@
 }
 
 /** Lines per second for events of every request: a node at its full rate has a few hundred requests per second. */
-const EVERY_REQUEST = 40
+const REQUEST_LINES_PER_SECOND = 40
 /** Lines per second for failures: five times as many, so that failures are logged even when successes are dropped. */
-const FAILURES = 200
+const FAILURE_LINES_PER_SECOND = 200
 /** Lines per second for state changes: a release of all servers causes a few hundred at once. */
-const BELIEFS = 200
+const STATE_CHANGE_LINES_PER_SECOND = 200
 
 export const gatewayEvents = {
-  'request sent': { level: 'info', linesPerSecond: EVERY_REQUEST, meaning: 'a request went to a backend server' },
-  'request complete': { level: 'info', linesPerSecond: EVERY_REQUEST, meaning: 'the caller has received the complete answer' },
-  'request ended': { level: 'info', linesPerSecond: FAILURES, meaning: 'the final answer is a refusal or a failure, or the caller disconnected' },
-  'request sent again': { level: 'info', linesPerSecond: FAILURES, meaning: 'a request went to another backend server after a failure' },
-  'backend server refused': { level: 'info', linesPerSecond: FAILURES, meaning: 'a backend server states that it did not run a request' },
-  'backend server failed': { level: 'info', linesPerSecond: FAILURES, meaning: 'a backend server states that it failed while it ran a request' },
-  'exchange failed': { level: 'info', linesPerSecond: FAILURES, meaning: 'a connection or an answer broke, or the answer belonged to another request' },
-  'backend server silent': { level: 'info', linesPerSecond: FAILURES, meaning: 'a request was withdrawn from a backend server that does not respond' },
-  'backend server held': { level: 'warn', linesPerSecond: BELIEFS, meaning: 'a backend server is suspended and gets no requests for a while' },
-  'backend server back': { level: 'info', linesPerSecond: BELIEFS, meaning: 'a backend server is no longer suspended' },
-  'availability zone held': { level: 'warn', linesPerSecond: BELIEFS, meaning: 'the backend servers of a zone are suspended until one of them can be reached' },
-  'backend server added': { level: 'info', linesPerSecond: BELIEFS, meaning: 'a backend server was registered' },
-  'backend server leaving': { level: 'info', linesPerSecond: BELIEFS, meaning: 'a backend server gets no new work' },
-  'backend server removed': { level: 'info', linesPerSecond: BELIEFS, meaning: 'a backend server was removed from the list' },
-  'backend server entry is malformed': { level: 'warn', linesPerSecond: BELIEFS, meaning: 'an entry of the list cannot be decoded' },
-  'backend server list lost': { level: 'warn', linesPerSecond: BELIEFS, meaning: 'the source of the backend servers can\'t be read' },
-  'backend server list reached': { level: 'info', linesPerSecond: BELIEFS, meaning: 'the source of the backend servers can be read again' },
-  'backend server history gone': { level: 'info', linesPerSecond: BELIEFS, meaning: 'the source no longer has all changes of the backend servers; the list is read again' },
-  'zone drain begun': { level: 'info', linesPerSecond: BELIEFS, meaning: 'the backend servers of a zone get no new requests from now on' },
-  'zone drain ended': { level: 'info', linesPerSecond: BELIEFS, meaning: 'the backend servers of a zone get requests again, at first as during warm-up' },
-  'zone drain names no zone': { level: 'warn', linesPerSecond: BELIEFS, meaning: 'a drain names an unknown zone and has no effect' },
-  'zone drains lost': { level: 'warn', linesPerSecond: BELIEFS, meaning: 'the source of the zone drains can\'t be read' },
-  'zone drains reached': { level: 'info', linesPerSecond: BELIEFS, meaning: 'the source of the zone drains can be read again' },
-  'zone drain history gone': { level: 'info', linesPerSecond: BELIEFS, meaning: 'the source no longer has all changes of the zone drains; they are read again' },
-  'configuration in force': { level: 'info', linesPerSecond: BELIEFS, meaning: 'another version of the configuration is in force from now on' },
-  'configuration source lost': { level: 'warn', linesPerSecond: BELIEFS, meaning: 'the source of the configuration can\'t be read' },
-  'configuration source reached': { level: 'info', linesPerSecond: BELIEFS, meaning: 'the source of the configuration can be read again' },
-  'configuration of a peer is malformed': { level: 'warn', linesPerSecond: BELIEFS, meaning: 'a peer sent a configuration that cannot be decoded' },
-  'prompt places learnt': { level: 'info', linesPerSecond: BELIEFS, meaning: 'after a start, a peer or a model engine reported cached prefix locations' },
-  'prompt places not learnt': { level: 'warn', linesPerSecond: BELIEFS, meaning: 'after a start, a model engine did not report its cached prefixes' },
-  'member changed': { level: 'info', linesPerSecond: BELIEFS, meaning: 'the last known state of a peer has changed' },
-  'refuted a rumour about this node': { level: 'warn', linesPerSecond: BELIEFS, meaning: 'peers reported a wrong state of this node' },
-  'connection with bytes that are no request': { level: 'info', linesPerSecond: EVERY_REQUEST, meaning: 'a caller\'s connection was closed' },
-  'gateway started': { level: 'info', linesPerSecond: BELIEFS, meaning: 'the listeners are open' },
-  'start timeline': { level: 'info', linesPerSecond: BELIEFS, meaning: 'elapsed and processor time from the process start to each start step' },
-  'gateway stopping': { level: 'info', linesPerSecond: BELIEFS, meaning: 'the shutdown has begun; readiness fails' },
-  'gateway stopped': { level: 'info', linesPerSecond: BELIEFS, meaning: 'no request is open any more, or the grace period has ended' },
-  'settings reloaded': { level: 'info', linesPerSecond: BELIEFS, meaning: 'the settings file was read again' },
-  'settings refused': { level: 'warn', linesPerSecond: BELIEFS, meaning: 'the settings file has an invalid field; the previous settings stay in force' },
-  'stop failed': { level: 'error', linesPerSecond: BELIEFS, meaning: 'the shutdown failed' },
-  'log lines left out': { level: 'warn', linesPerSecond: BELIEFS, meaning: 'events over their limit of lines per second, or lines dropped because the output pipe was full' }
+  'request sent': { level: 'info', linesPerSecond: REQUEST_LINES_PER_SECOND, meaning: 'a request went to a backend server' },
+  'request complete': { level: 'info', linesPerSecond: REQUEST_LINES_PER_SECOND, meaning: 'the caller has received the complete answer' },
+  'request ended': { level: 'info', linesPerSecond: FAILURE_LINES_PER_SECOND, meaning: 'the final answer is a refusal or a failure, or the caller disconnected' },
+  'request sent again': { level: 'info', linesPerSecond: FAILURE_LINES_PER_SECOND, meaning: 'a request went to another backend server after a failure' },
+  'backend server refused': { level: 'info', linesPerSecond: FAILURE_LINES_PER_SECOND, meaning: 'a backend server states that it did not run a request' },
+  'backend server failed': { level: 'info', linesPerSecond: FAILURE_LINES_PER_SECOND, meaning: 'a backend server states that it failed while it ran a request' },
+  'exchange failed': { level: 'info', linesPerSecond: FAILURE_LINES_PER_SECOND, meaning: 'a connection or an answer broke, or the answer belonged to another request' },
+  'backend server silent': { level: 'info', linesPerSecond: FAILURE_LINES_PER_SECOND, meaning: 'a request was withdrawn from a backend server that does not respond' },
+  'backend server held': { level: 'warn', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'a backend server is suspended and gets no requests for a while' },
+  'backend server back': { level: 'info', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'a backend server is no longer suspended' },
+  'availability zone held': { level: 'warn', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'the backend servers of a zone are suspended until one of them can be reached' },
+  'backend server added': { level: 'info', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'a backend server was registered' },
+  'backend server leaving': { level: 'info', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'a backend server gets no new work' },
+  'backend server removed': { level: 'info', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'a backend server was removed from the list' },
+  'backend server entry is malformed': { level: 'warn', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'an entry of the list cannot be decoded' },
+  'backend server list lost': { level: 'warn', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'the source of the backend servers can\'t be read' },
+  'backend server list reached': { level: 'info', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'the source of the backend servers can be read again' },
+  'backend server history gone': { level: 'info', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'the source no longer has all changes of the backend servers; the list is read again' },
+  'zone drain begun': { level: 'info', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'the backend servers of a zone get no new requests from now on' },
+  'zone drain ended': { level: 'info', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'the backend servers of a zone get requests again, at first as during warm-up' },
+  'zone drain names no zone': { level: 'warn', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'a drain names an unknown zone and has no effect' },
+  'zone drains lost': { level: 'warn', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'the source of the zone drains can\'t be read' },
+  'zone drains reached': { level: 'info', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'the source of the zone drains can be read again' },
+  'zone drain history gone': { level: 'info', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'the source no longer has all changes of the zone drains; they are read again' },
+  'configuration in force': { level: 'info', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'another version of the configuration is in force from now on' },
+  'configuration source lost': { level: 'warn', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'the source of the configuration can\'t be read' },
+  'configuration source reached': { level: 'info', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'the source of the configuration can be read again' },
+  'configuration of a peer is malformed': { level: 'warn', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'a peer sent a configuration that cannot be decoded' },
+  'prompt places learnt': { level: 'info', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'after a start, a peer or a model engine reported cached prefix locations' },
+  'prompt places not learnt': { level: 'warn', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'after a start, a model engine did not report its cached prefixes' },
+  'member changed': { level: 'info', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'the last known state of a peer has changed' },
+  'refuted a rumour about this node': { level: 'warn', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'peers reported a wrong state of this node' },
+  'connection with bytes that are no request': { level: 'info', linesPerSecond: REQUEST_LINES_PER_SECOND, meaning: 'a caller\'s connection was closed' },
+  'gateway started': { level: 'info', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'the listeners are open' },
+  'start timeline': { level: 'info', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'elapsed and processor time from the process start to each start step' },
+  'gateway stopping': { level: 'info', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'the shutdown has begun; readiness fails' },
+  'gateway stopped': { level: 'info', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'no request is open any more, or the grace period has ended' },
+  'settings reloaded': { level: 'info', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'the settings file was read again' },
+  'settings refused': { level: 'warn', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'the settings file has an invalid field; the previous settings stay in force' },
+  'stop failed': { level: 'error', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'the shutdown failed' },
+  'log lines left out': { level: 'warn', linesPerSecond: STATE_CHANGE_LINES_PER_SECOND, meaning: 'events over their limit of lines per second, or lines dropped because the output pipe was full' }
 } as const satisfies Readonly<Record<string, EventDescription>>
 
 export type GatewayEvent = keyof typeof gatewayEvents
--- a/src/types/gatewaySettings.ts
+++ b/src/types/gatewaySettings.ts
@@ -23,9 +23,9 @@
   readonly configurationDelayMs: number
   /** Time for which a backend server continues to serve after its removal from the list. */
   readonly serverDrainMs: number
-  readonly repeatRatio: number
-  readonly repeatExtra: number
-  readonly repeatWindowMs: number
+  readonly retryRatio: number
+  readonly retryExtra: number
+  readonly retryWindowMs: number
   /** Maximum load of a backend server: this multiple of the mean load of its service, plus 3 requests. */
   readonly loadFactor: number
   /** Limit on requests to a backend server that is warming up, in any one second: `excess` times its stated rate plus `slack` requests. Omitted when servers need no warm-up. */
--- a/src/types/gatewayKnowledge.ts
+++ b/src/types/gatewayState.ts
@@ -37,7 +37,7 @@
 export type RecordChange = Readonly<Record<string, readonly RecordStep[]>>
 
 /** A configuration sent between nodes: either the change from a revision that the receiver has, or all records compressed. */
-export type ConfigurationNews = { readonly revision: number } & (
+export type ConfigurationUpdate = { readonly revision: number } & (
   | { readonly kind: 'change', readonly base: number, readonly change: RecordChange }
   | { readonly kind: 'whole', readonly bytes: Uint8Array }
 )
@@ -74,7 +74,7 @@
 }
 
 /** Changes to one node's list of backend servers since a position, or the complete list. */
-export type InstanceNews = {
+export type InstanceUpdate = {
   /** Whether `instances` is the complete list, so that any other backend server is gone. */
   readonly isWhole: boolean
   readonly instances: readonly BackendInstance[]
@@ -101,7 +101,7 @@
    * Backend servers whose entry was removed so recently that they still run. They
    * get no requests, but their prompt caches can be copied.
    */
-  readonly removedLately: () => readonly BackendInstance[]
+  readonly recentlyRemoved: () => readonly BackendInstance[]
   readonly revision: () => number
   /** Whether the list has been read or received at least once since the start. */
   readonly isKnown: () => boolean
@@ -113,12 +113,12 @@
 }
 
 /** The availability zones that operators are draining, as of a revision of the source. Their backend servers get no work. */
-export type ZoneDrainNews = { readonly revision: number, readonly zones: readonly string[] }
+export type ZoneDrainSnapshot = { readonly revision: number, readonly zones: readonly string[] }
 
 export type ZoneDrainChange = { readonly zone: string, readonly isEnded: boolean }
 
 export type ZoneDrainSource = {
-  readonly list: () => Promise<Result<ZoneDrainNews, SourceError>>
+  readonly list: () => Promise<Result<ZoneDrainSnapshot, SourceError>>
   /** Waits up to `waitMs` for changes after `revision`. */
   readonly watch: (revision: number, waitMs: number) => Promise<Result<{ readonly changes: readonly ZoneDrainChange[], readonly revision: number }, SourceError>>
 }
@@ -134,7 +134,7 @@
   readonly onChange: (listener: () => void) => void
 }
 
-export type EngineMemorySource = {
+export type PromptCacheSource = {
   /** Lists the prompt parts in a model engine's prompt cache. Expensive: the query delays the engine's other work. */
   readonly list: (instance: BackendInstance) => Promise<Result<readonly PromptPart[], SourceError>>
 }
--- a/src/types/peer.ts
+++ b/src/types/peer.ts
@@ -2,7 +2,7 @@
  * Messages between routers, and the transport that carries them. A message is
  * a tagged union; each service registers a handler for the kinds it owns.
  */
-import type { ChangePosition, ConfigurationNews, InstanceNews, ZoneDrainNews } from './gatewayKnowledge.js'
+import type { ChangePosition, ConfigurationUpdate, InstanceUpdate, ZoneDrainSnapshot } from './gatewayState.js'
 import type { Result } from './result.js'
 
 export type PeerAddress = { readonly host: string, readonly port: number }
@@ -113,16 +113,16 @@
   | { readonly kind: 'claimAppend', readonly shard: number, readonly entries: readonly Uint8Array[] }
   | { readonly kind: 'claimOutcome', readonly key: ClaimKey }
   /** Prompt parts recently sent to backend servers. In a large fleet one node of each zone gets the message and forwards it within the zone. */
-  | { readonly kind: 'promptPlaces', readonly places: readonly KeptParts[], readonly isForZone?: boolean }
+  | { readonly kind: 'promptPlaces', readonly places: readonly CachedParts[], readonly isForZone?: boolean }
   /** Sent by a gateway node after its start to request the cached prefix locations that another one has. */
   | { readonly kind: 'promptPlacesRequest' }
   /** Requests everything newer than the stated versions; `since` is the position up to which the requester has the receiver's changes. */
   | { readonly kind: 'knowledgeRequest', readonly version: number, readonly configurationRevision: number, readonly revision: number, readonly since?: ChangePosition }
   /** Notifies that the sender has a newer configuration or changed backend servers, so that the receiver can request them. */
-  | { readonly kind: 'knowledgeNews', readonly source: string, readonly version: number, readonly position: ChangePosition, readonly zoneDrains?: ZoneDrainNews }
+  | { readonly kind: 'knowledgeNews', readonly source: string, readonly version: number, readonly position: ChangePosition, readonly zoneDrains?: ZoneDrainSnapshot }
 
 /** Ids of the prompt parts that a backend server (`id@incarnation`) probably has in its prompt cache. */
-export type KeptParts = { readonly server: string, readonly parts: readonly string[] }
+export type CachedParts = { readonly server: string, readonly parts: readonly string[] }
 
 export type PeerReply =
   | { readonly kind: 'none' }
@@ -134,19 +134,19 @@
   | { readonly kind: 'claimRefused', readonly message: string }
   | { readonly kind: 'claimOutcome', readonly outcome?: Uint8Array }
   /** `isWhole` is set once the node has finished collecting the prompt caches of its zone's model engines, even if some did not respond. */
-  | { readonly kind: 'promptPlaces', readonly places: readonly KeptParts[], readonly isWhole: boolean }
+  | { readonly kind: 'promptPlaces', readonly places: readonly CachedParts[], readonly isWhole: boolean }
   | {
     readonly kind: 'knowledge'
     readonly version: number
     /** Milliseconds since that version was last confirmed to be the newest, at the time of the reply; infinite when unknown. */
     readonly ageMs: number
     /** Omitted when the requester already has that version. */
-    readonly configuration?: ConfigurationNews
+    readonly configuration?: ConfigurationUpdate
     /** Revision of the source that the list of backend servers reflects. */
     readonly revision: number
-    readonly instances: InstanceNews
+    readonly instances: InstanceUpdate
     /** Omitted when the node has not read the zone drains, or the deployment has no zone drains. */
-    readonly zoneDrains?: ZoneDrainNews
+    readonly zoneDrains?: ZoneDrainSnapshot
   }
 
 export type PeerError =
--- a/test/platform/readers.test.ts
+++ b/test/platform/readers.test.ts
@@ -152,9 +152,9 @@
     await fleet.restart(3)
     for (let step = 0; step < 400; step++) {
       await fleet.clock.advanceAndSettle(5)
-      if (fleet.nodes[3]!.isAbleToServe()) expect(listSending(fleet)).toEqual([])
+      if (fleet.nodes[3]!.canServe()) expect(listSending(fleet)).toEqual([])
     }
-    expect(fleet.nodes[3]!.isAbleToServe()).toBe(true)
+    expect(fleet.nodes[3]!.canServe()).toBe(true)
   })
 
   // A drain that follows another while one zone is cut off, and ends there unheard.
