--- a/src/services/configuration/_lib/createInterruptibleDelay.ts
+++ b/src/services/configuration/_lib/createInterruptibleDelay.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../../../types/index.js'
 
 export type InterruptibleDelay = {
-  /** Resolves after `delayMs`, or earlier on `wake` or `stop`. */
+  /** Resolves after `delayMs`, or earlier on `interrupt` or `stop`. */
   readonly wait: (delayMs: number) => Promise<void>
   readonly interrupt: () => void
   readonly stop: () => void
--- a/src/services/gatewayConfiguration/index.ts
+++ b/src/services/gatewayConfiguration/index.ts
@@ -36,7 +36,7 @@
 }
 
 export type RunningGatewayConfiguration = RunningService<GatewayConfigurationHolder> & {
-  /** Applies a peer's reply to a request that was sent at `askedAt`; the peer's age is at most `ageMs` plus the time since then. */
+  /** Applies a peer's reply to a request that was sent at `requestedAt`; the peer's age is at most `ageMs` plus the time since then. */
   readonly learn: (requestedAt: ClockReading, ageMs: number, version: number, update: ConfigurationUpdate | undefined) => void
   /** Revision of the source's write that the configuration in force came from; 0 before the first. */
   readonly revision: () => number
--- a/src/services/knowledgeExchange/index.ts
+++ b/src/services/knowledgeExchange/index.ts
@@ -63,7 +63,7 @@
  *
  * @example
  * const exchange = createKnowledgeExchange(dependencies, options)
- * exchange.api.ask()
+ * exchange.api.queryPeers()
  */
 export const createKnowledgeExchange = (dependencies: KnowledgeExchangeDependencies, options: KnowledgeExchangeOptions): RunningService<KnowledgeExchange> => {
   const { clock, random, transport, membership, exchange, configuration, registry, zoneDrains, clocks } = dependencies
@@ -158,7 +158,7 @@
 
   /**
    * Handles a newer version seen in a heartbeat. Its sender is queried, unless this node reads the source itself or gets
-   * the version from its reader within `HINT_DELAY_MS`. The delay matters because a recently started sender has no earlier
+   * the version from its reader within `VERSION_QUERY_DELAY_MS`. The delay matters because a recently started sender has no earlier
    * version, so that its reply would be a complete configuration instead of a change.
    */
   const handleHeartbeat = (member: Member): void => {
