--- a/src/adapters/callerHttp/index.ts
+++ b/src/adapters/callerHttp/index.ts
@@ -5,7 +5,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import fastify, { type FastifyInstance, type FastifyReply, type FastifyRequest } from 'fastify'
-import { describeRefusal } from '../../decisions/describeRefusal/index.js'
+import { createRefusal } from '../../decisions/createRefusal/index.js'
 import type { CallerAnswer, Clock, Dispatch, Logger, PeerAddress, RandomSource } from '../../types/index.js'
 import { createBodyBudget } from './_lib/createBodyBudget.js'
 import { readCallerRequest } from './_lib/readCallerRequest.js'
@@ -69,7 +69,7 @@
 const FULL_RETRY_MS = 1_000
 
 const refuse = (reason: 'badRequest' | 'bodyTooLarge', message: string): CallerAnswer =>
-  ({ kind: 'refused', refusal: describeRefusal('not-run', reason, message) })
+  ({ kind: 'refused', refusal: createRefusal('not-run', reason, message) })
 
 /** What a request may take of the body budget; one of unknown length may take the most. */
 const readBodyBytes = ({ headers }: IncomingMessage, maximumBytes: number): number =>
@@ -155,7 +155,7 @@
       return await dispatch.handle(readCallerRequest(request.raw, request.body, requestId), signal)
     } catch (error) {
       logger.error('dispatch broke an invariant', { requestId, error: String(error) })
-      return { kind: 'refused', refusal: describeRefusal('unknown', 'backendFailed', 'the router failed') }
+      return { kind: 'refused', refusal: createRefusal('unknown', 'backendFailed', 'the router failed') }
     }
   }
 
@@ -181,7 +181,7 @@
     }
     reply.hijack()
     reply.raw.setHeader('connection', 'close')
-    await write(reply, random.nextId(), { kind: 'refused', refusal: describeRefusal('not-run', 'queueFull', 'too much is being sent at once', FULL_RETRY_MS) })
+    await write(reply, random.nextId(), { kind: 'refused', refusal: createRefusal('not-run', 'queueFull', 'too much is being sent at once', FULL_RETRY_MS) })
   }
 
   const server = createServer(settings, refuseMalformed)
--- a/src/adapters/callerHttp/test.ts
+++ b/src/adapters/callerHttp/test.ts
@@ -1,14 +1,14 @@
 import { connect } from 'node:net'
 import { afterEach, describe, expect, it } from 'vitest'
 import type { AnswerPart, CallerAnswer, CallerRequest, Dispatch, Logger } from '../../types/index.js'
-import { describeRefusal } from '../../decisions/describeRefusal/index.js'
+import { createRefusal } from '../../decisions/createRefusal/index.js'
 import { createSeededRandom } from '../seededRandom/index.js'
 import { createSystemClock } from '../systemClock/index.js'
 import { createCallerHttp, type CallerHttp, type CallerHttpOptions } from './index.js'
 
 const SILENT_LOGGER: Logger = { error: () => {}, warn: () => {}, info: () => {}, debug: () => {} }
 const OK: CallerAnswer = { kind: 'whole', status: 200, headers: { 'content-type': 'text/plain' }, body: Buffer.from('ok') }
-const REFUSAL = describeRefusal('unknown', 'backendFailed', 'it failed', 1_200)
+const REFUSAL = createRefusal('unknown', 'backendFailed', 'it failed', 1_200)
 
 type Listener = { readonly callerHttp: CallerHttp, readonly url: string, readonly port: number, readonly handled: CallerRequest[], readonly signals: AbortSignal[] }
 
--- a/src/cli/_lib/askRouters.ts
+++ b/src/cli/_lib/askRouters.ts
@@ -1,6 +1,6 @@
 /** Asking every known router for its status, all at once. */
 import type { OperatorClient } from '../../adapters/operatorClient/index.js'
-import type { RouterAnswer } from '../../decisions/judgeRollout/index.js'
+import type { RouterAnswer } from '../../decisions/evaluateRollout/index.js'
 import { mapInBatches } from '../../kernel/index.js'
 import type { NodeStatus, Platform, Vm } from '../../types/index.js'
 import type { CommandEnvironment } from './commandEnvironment.js'
--- a/src/cli/_lib/render.ts
+++ b/src/cli/_lib/render.ts
@@ -1,6 +1,6 @@
 /** Tables and lines for people. */
 import CliTable from 'cli-table3'
-import type { Rollout } from '../../decisions/judgeRollout/index.js'
+import type { Rollout } from '../../decisions/evaluateRollout/index.js'
 import { formatIsoTime } from '../../kernel/index.js'
 import type { AppliedGeneration, AuditChange, AuditEntry, SheetChange } from '../../types/index.js'
 
--- a/src/cli/_lib/waitForRollout.ts
+++ b/src/cli/_lib/waitForRollout.ts
@@ -1,5 +1,5 @@
 /** Waiting until every router confirms a generation. */
-import { judgeRollout, type Rollout } from '../../decisions/judgeRollout/index.js'
+import { evaluateRollout, type Rollout } from '../../decisions/evaluateRollout/index.js'
 import type { NodeStatus, Platform } from '../../types/index.js'
 import { askRouters } from './askRouters.js'
 import type { CommandEnvironment } from './commandEnvironment.js'
@@ -20,7 +20,7 @@
   const endsAt = environment.clock.now() + waitSeconds * 1_000
   while (true) {
     const { answers, statuses, vms } = await askRouters(environment, flags, platform)
-    const rollout = judgeRollout(generation, answers, vms)
+    const rollout = evaluateRollout(generation, answers, vms)
     const result = { rollout, statuses, isDone: rollout.isInForceEverywhere && isDone(statuses, rollout) }
     if (result.isDone || environment.clock.now() >= endsAt) return result
     await new Promise<void>((resolve) => environment.clock.setTimer(POLL_INTERVAL_MS, resolve))
--- a/src/cli/drain/index.ts
+++ b/src/cli/drain/index.ts
@@ -1,7 +1,7 @@
 /** `dotterelspoke drain`: stops new work for one backend server, as a change of the configuration. */
 import { Command } from 'commander'
 import { editPlannedStop, type DrainEdit } from '../../decisions/editPlannedStop/index.js'
-import type { Rollout } from '../../decisions/judgeRollout/index.js'
+import type { Rollout } from '../../decisions/evaluateRollout/index.js'
 import { parseIsoTime } from '../../kernel/index.js'
 import type { ApplyOutcome } from '../../services/configurationStore/index.js'
 import type { BackendServerState, NodeStatus } from '../../types/index.js'
--- a/src/cli/explain/index.ts
+++ b/src/cli/explain/index.ts
@@ -41,5 +41,5 @@
       environment.setExitCode(exitCodes.failure)
       return
     }
-    environment.print([...renderSection('what the nodes believed', story.beliefs), ...renderSection('what happened to the request', story.steps)].join('\n'))
+    environment.print([...renderSection('what the nodes believed', story.stateChanges), ...renderSection('what happened to the request', story.steps)].join('\n'))
   })
--- a/src/cli/sheet/_lib/applyCommand.ts
+++ b/src/cli/sheet/_lib/applyCommand.ts
@@ -1,6 +1,6 @@
 /** `sheet apply`: puts a sheet in force and, if asked, waits until every router has it. */
 import { Command } from 'commander'
-import { isDrain } from '../../../decisions/editPlannedStop/index.js'
+import { isDrainName } from '../../../decisions/editPlannedStop/index.js'
 import { computeSha256 } from '../../../kernel/index.js'
 import type { ApplyOutcome } from '../../../services/configurationStore/index.js'
 import type { Sheet, SheetChange, SheetProblem } from '../../../types/index.js'
@@ -72,7 +72,7 @@
 }
 
 /** A sheet exported before a drain knows nothing of it and would end it unseen. */
-const endsDrain = ({ record, name, after }: SheetChange): boolean => record === 'plannedStops' && isDrain(name) && after === undefined
+const endsDrain = ({ record, name, after }: SheetChange): boolean => record === 'plannedStops' && isDrainName(name) && after === undefined
 
 type Accepted = Extract<ApplyOutcome, { readonly kind: 'applied' | 'unchanged' }>
 
--- a/src/cli/sheet/_lib/readingCommands.ts
+++ b/src/cli/sheet/_lib/readingCommands.ts
@@ -1,6 +1,6 @@
 /** `sheet check`, `plan`, `status`, `history` and `show`: commands that change nothing. */
 import { Command } from 'commander'
-import { judgeRollout } from '../../../decisions/judgeRollout/index.js'
+import { evaluateRollout } from '../../../decisions/evaluateRollout/index.js'
 import { serializeSheet } from '../../../decisions/serializeSheet/index.js'
 import type { StoreError } from '../../../services/configurationStore/index.js'
 import type { AppliedGeneration, ConfigurationRoot, Sheet } from '../../../types/index.js'
@@ -71,7 +71,7 @@
   const accepted = root.ok ? root.value?.root : undefined
   const { answers, vms } = await askRouters(environment, flags, platform)
   const seen = highestGeneration(answers)
-  const rollout = judgeRollout(Math.max(accepted?.generation ?? 0, seen), answers, vms)
+  const rollout = evaluateRollout(Math.max(accepted?.generation ?? 0, seen), answers, vms)
   const problem = root.ok ? explainRoot(accepted, seen) : `what was accepted last is not known: ${root.error.message}`
   const lines = [accepted === undefined ? '' : `accepted: ${renderGeneration(accepted)}`, renderRollout(rollout), problem ?? '']
   printResult(environment, flags.json, { accepted, rollout, problem }, () => lines.filter((line) => line !== '').join('\n'))
--- a/src/decisions/judgeStop/index.ts
+++ b/src/decisions/admitDuringShutdown/index.ts
@@ -4,17 +4,17 @@
  * shutting down, and a stream that outlasts its gateway is cut.
  */
 
-export type StopQuestion = {
+export type ShutdownAdmissionInput = {
   /** Milliseconds until the node exits. */
-  readonly leftMs: number
+  readonly untilExitMs: number
   /** Milliseconds until the deadline of the request, the longest that it can take. */
-  readonly limitMs: number
+  readonly untilDeadlineMs: number
   /** Milliseconds from the start of the shutdown to the arrival of the request. */
   readonly arrivedAfterMs: number
   /** Share of the route's recent streams that took longer than `leftMs`; `undefined` while too few are known. */
   readonly lateShare: number | undefined
   /** Estimated maximum duration in milliseconds, from its tokens and the speed of the slowest observed stream. Used while no share is known. */
-  readonly estimatedMs: number
+  readonly estimatedDurationMs: number
 }
 
 /**
@@ -22,9 +22,9 @@
  * Earlier, callers cannot avoid the node. Later requests arrive on old connections, or because most nodes of
  * the zone are shutting down.
  */
-const TURNING_AWAY_MS = 2_500
+const LOAD_BALANCER_REMOVAL_MS = 2_500
 /** A low share, since a rejection costs a caller only a second connection, and a cut stream its complete answer. */
-const MOST_LATE_SHARE = 0.05
+const MAXIMUM_LATE_SHARE = 0.05
 
 /**
  * Decides on one request.
@@ -38,8 +38,8 @@
  * @example
  * judgeStop({ leftMs: 4_000, limitMs: 3_000, arrivedAfterMs: 3_500, lateShare: undefined, estimatedMs: 9_000 }) // => true
  */
-export const judgeStop = ({ leftMs, limitMs, arrivedAfterMs, lateShare, estimatedMs }: StopQuestion): boolean => {
-  if (limitMs <= leftMs) return true
-  if (arrivedAfterMs > TURNING_AWAY_MS) return false
-  return lateShare === undefined ? estimatedMs <= leftMs : lateShare <= MOST_LATE_SHARE
+export const admitDuringShutdown = ({ untilExitMs, untilDeadlineMs, arrivedAfterMs, lateShare, estimatedDurationMs }: ShutdownAdmissionInput): boolean => {
+  if (untilDeadlineMs <= untilExitMs) return true
+  if (arrivedAfterMs > LOAD_BALANCER_REMOVAL_MS) return false
+  return lateShare === undefined ? estimatedDurationMs <= untilExitMs : lateShare <= MAXIMUM_LATE_SHARE
 }
--- a/src/decisions/advanceEjection/index.ts
+++ b/src/decisions/advanceEjection/index.ts
@@ -14,9 +14,9 @@
   /** Failed attempts in a row. */
   readonly failures: number
   /** Failed connections in a row, of attempts and probes. */
-  readonly refusals: number
+  readonly failedConnections: number
   /** Unanswered probes in a row. */
-  readonly silences: number
+  readonly unansweredProbes: number
   /** Moving average of the share of failed attempts, 0 to 1. */
   readonly failureRate: number
   /** Ejections that still count for the next ejection time. */
@@ -24,7 +24,7 @@
   /** Monotonic milliseconds at which the phase began. */
   readonly since: number
   /** Monotonic milliseconds until which it is ejected. */
-  readonly until: number
+  readonly ejectedUntil: number
 }
 
 /** The outcome of an attempt or a probe, or a timer tick. A probe that could not connect is `notSent`. */
@@ -34,9 +34,9 @@
   /** Failed attempts in a row after which the server is ejected. */
   readonly failures: number
   /** Connections refused in a row after which the server is unreachable. */
-  readonly refusals: number
+  readonly failedConnections: number
   /** Unanswered probes in a row after which the server is ejected. */
-  readonly silences: number
+  readonly unansweredProbes: number
   /** Failure rate above which the server is ejected, for servers that alternate between failure and success. */
   readonly failureRate: number
   readonly holdMs: number
@@ -47,11 +47,11 @@
 }
 
 /** Share of its slots that a server has at the start of slow start. */
-export const FIRST_WEIGHT_SHARE = 0.1
+export const INITIAL_WEIGHT_SHARE = 0.1
 
-const RATE_STEP = 0.1
+const SMOOTHING_FACTOR = 0.1
 
-const NO_FAILURES = { failures: 0, refusals: 0, silences: 0, failureRate: 0 }
+const NO_FAILURES = { failures: 0, failedConnections: 0, unansweredProbes: 0, failureRate: 0 }
 
 type Handler = (ejection: Ejection, now: number, limits: EjectionLimits) => Ejection
 
@@ -64,7 +64,7 @@
  * createEjection().phase // => 'live'
  */
 export const createEjection = (): Ejection =>
-  ({ phase: 'live', cause: 'failed', ...NO_FAILURES, ejections: 0, since: 0, until: 0 })
+  ({ phase: 'live', cause: 'failed', ...NO_FAILURES, ejections: 0, since: 0, ejectedUntil: 0 })
 
 /**
  * Applies one event to the ejection state of a server.
@@ -82,48 +82,48 @@
   handlers[event](advanceTime(ejection, now, limits), now, limits)
 
 const advanceTime: Handler = (ejection, now, limits) => {
-  if (ejection.phase === 'ejected' && now >= ejection.until) {
-    return { ...ejection, phase: 'slowStart', since: ejection.until, ...NO_FAILURES }
+  if (ejection.phase === 'ejected' && now >= ejection.ejectedUntil) {
+    return { ...ejection, phase: 'slowStart', since: ejection.ejectedUntil, ...NO_FAILURES }
   }
   if (ejection.phase === 'slowStart' && now >= ejection.since + limits.slowStartMs) return { ...ejection, phase: 'live', since: now }
-  const isForgiven = ejection.phase === 'live' && ejection.ejections > 0 && now >= ejection.since + limits.forgetAfterMs
-  return isForgiven ? { ...ejection, ejections: 0 } : ejection
+  const isHistoryExpired = ejection.phase === 'live' && ejection.ejections > 0 && now >= ejection.since + limits.forgetAfterMs
+  return isHistoryExpired ? { ...ejection, ejections: 0 } : ejection
 }
 
 const eject = (ejection: Ejection, cause: Ejection['cause'], now: number, limits: EjectionLimits): Ejection => {
   const holdMs = Math.min(limits.maximumHoldMs, limits.holdMs * 2 ** ejection.ejections)
-  return { ...ejection, phase: 'ejected', cause, ejections: ejection.ejections + 1, since: now, until: now + holdMs }
+  return { ...ejection, phase: 'ejected', cause, ejections: ejection.ejections + 1, since: now, ejectedUntil: now + holdMs }
 }
 
-const fail = (failed: Ejection, cause: Ejection['cause'], isOverLimit: boolean, now: number, limits: EjectionLimits): Ejection => {
+const recordFailure = (updated: Ejection, cause: Ejection['cause'], isOverLimit: boolean, now: number, limits: EjectionLimits): Ejection => {
   // A server that still fails at the end of its ejection would return only to fail
   // again. Failures of requests already in flight do not count as a second ejection.
-  if (failed.phase === 'ejected') return { ...failed, cause, until: Math.max(failed.until, now + limits.holdMs) }
-  return failed.phase === 'slowStart' || isOverLimit ? eject(failed, cause, now, limits) : failed
+  if (updated.phase === 'ejected') return { ...updated, cause, ejectedUntil: Math.max(updated.ejectedUntil, now + limits.holdMs) }
+  return updated.phase === 'slowStart' || isOverLimit ? eject(updated, cause, now, limits) : updated
 }
 
 const handlers: Readonly<Record<EjectionEvent, Handler>> = {
   tick: (ejection) => ejection,
   refused: (ejection) => ejection,
   complete: (ejection) => {
-    if (ejection.failures === 0 && ejection.refusals === 0 && ejection.failureRate === 0) return ejection
-    return { ...ejection, failures: 0, refusals: 0, failureRate: ejection.failureRate * (1 - RATE_STEP) }
+    if (ejection.failures === 0 && ejection.failedConnections === 0 && ejection.failureRate === 0) return ejection
+    return { ...ejection, failures: 0, failedConnections: 0, failureRate: ejection.failureRate * (1 - SMOOTHING_FACTOR) }
   },
   failed: (ejection, now, limits) => {
     const failures = ejection.failures + 1
-    const failureRate = ejection.failureRate + RATE_STEP * (1 - ejection.failureRate)
+    const failureRate = ejection.failureRate + SMOOTHING_FACTOR * (1 - ejection.failureRate)
     const isOverLimit = failures >= limits.failures || failureRate > limits.failureRate
-    return fail({ ...ejection, failures, failureRate }, 'failed', isOverLimit, now, limits)
+    return recordFailure({ ...ejection, failures, failureRate }, 'failed', isOverLimit, now, limits)
   },
   notSent: (ejection, now, limits) => {
-    const refusals = ejection.refusals + 1
-    return fail({ ...ejection, refusals }, 'unreachable', refusals >= limits.refusals, now, limits)
+    const failedConnections = ejection.failedConnections + 1
+    return recordFailure({ ...ejection, failedConnections }, 'unreachable', failedConnections >= limits.failedConnections, now, limits)
   },
   // An answered probe shows that the server is reachable, not that requests succeed there.
-  probeAnswered: (ejection) => ejection.refusals === 0 && ejection.silences === 0 ? ejection : { ...ejection, refusals: 0, silences: 0 },
+  probeAnswered: (ejection) => ejection.failedConnections === 0 && ejection.unansweredProbes === 0 ? ejection : { ...ejection, failedConnections: 0, unansweredProbes: 0 },
   probeUnanswered: (ejection, now, limits) => {
-    const silences = ejection.silences + 1
-    return fail({ ...ejection, silences }, 'failed', silences >= limits.silences, now, limits)
+    const unansweredProbes = ejection.unansweredProbes + 1
+    return recordFailure({ ...ejection, unansweredProbes }, 'failed', unansweredProbes >= limits.unansweredProbes, now, limits)
   }
 }
 
@@ -142,5 +142,5 @@
   if (ejection.phase === 'live') return 1
   if (ejection.phase === 'ejected') return 0
   const progress = Math.min(1, Math.max(0, now - ejection.since) / limits.slowStartMs)
-  return FIRST_WEIGHT_SHARE + (1 - FIRST_WEIGHT_SHARE) * progress
+  return INITIAL_WEIGHT_SHARE + (1 - INITIAL_WEIGHT_SHARE) * progress
 }
--- a/src/decisions/advanceEjection/test.ts
+++ b/src/decisions/advanceEjection/test.ts
@@ -1,10 +1,10 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { advanceEjection, computeWeightShare, createEjection, FIRST_WEIGHT_SHARE } from './index.js'
+import { advanceEjection, computeWeightShare, createEjection, INITIAL_WEIGHT_SHARE } from './index.js'
 import type { EjectionEvent, EjectionLimits } from './index.js'
 
 const SEED = 20_263
-const LIMITS: EjectionLimits = { failures: 3, refusals: 2, silences: 3, failureRate: 0.4, holdMs: 1000, maximumHoldMs: 8000, slowStartMs: 4000, forgetAfterMs: 60_000 }
+const LIMITS: EjectionLimits = { failures: 3, failedConnections: 2, unansweredProbes: 3, failureRate: 0.4, holdMs: 1000, maximumHoldMs: 8000, slowStartMs: 4000, forgetAfterMs: 60_000 }
 const EVENTS: readonly EjectionEvent[] = ['complete', 'failed', 'notSent', 'refused', 'probeAnswered', 'probeUnanswered', 'tick']
 
 const advanceAll = (events: readonly EjectionEvent[], now = 0, start = createEjection()) =>
@@ -28,10 +28,10 @@
   // With a constant ejection time, a flapping server would go on failing the same share of requests.
   it('doubles the ejection time of a flapping server up to the maximum', () => {
     let ejection = advanceAll(['failed', 'failed', 'failed'])
-    const holds = [ejection.until - ejection.since]
+    const holds = [ejection.ejectedUntil - ejection.since]
     for (let round = 0; round < 4; round++) {
-      ejection = advanceEjection(ejection, 'failed', ejection.until, LIMITS)
-      holds.push(ejection.until - ejection.since)
+      ejection = advanceEjection(ejection, 'failed', ejection.ejectedUntil, LIMITS)
+      holds.push(ejection.ejectedUntil - ejection.since)
     }
     expect(holds).toEqual([1000, 2000, 4000, 8000, 8000])
   })
@@ -39,13 +39,13 @@
   it('returns through slow start and is live at its end', () => {
     const ejected = advanceAll(['notSent', 'notSent'])
     const back = advanceEjection(ejected, 'tick', 1000, LIMITS)
-    expect([1000, 3000, 5000].map((now) => computeWeightShare(back, now, LIMITS))).toEqual([FIRST_WEIGHT_SHARE, 0.55, 1])
+    expect([1000, 3000, 5000].map((now) => computeWeightShare(back, now, LIMITS))).toEqual([INITIAL_WEIGHT_SHARE, 0.55, 1])
     expect(advanceEjection(back, 'tick', 5000, LIMITS).phase).toBe('live')
   })
 
   it('stays ejected while connections are still refused', () => {
     const ejected = advanceAll(['notSent', 'notSent'])
-    expect(advanceEjection(ejected, 'notSent', 900, LIMITS).until).toBe(1900)
+    expect(advanceEjection(ejected, 'notSent', 900, LIMITS).ejectedUntil).toBe(1900)
   })
 
   it('forgets earlier ejections after a time without one', () => {
--- a/src/decisions/judgeInstance/index.ts
+++ b/src/decisions/checkInstanceEligibility/index.ts
@@ -4,7 +4,7 @@
  * continue on another server.
  */
 
-export type InstanceStanding = {
+export type InstanceStatus = {
   /** Region of its availability zone; `undefined` when it is not known. */
   readonly region: string | undefined
   readonly isZoneDrained: boolean
@@ -12,9 +12,9 @@
   readonly isAtWarmUpRate: boolean
 }
 
-export type InstanceVerdict = 'open' | 'regionNotAllowed' | 'zoneDrained' | 'warmingUp'
+export type InstanceEligibility = 'open' | 'regionNotAllowed' | 'zoneDrained' | 'warmingUp'
 
-const isAllowed = (region: string | undefined, allowed: readonly string[]): boolean =>
+const isRegionAllowed = (region: string | undefined, allowed: readonly string[]): boolean =>
   allowed.length === 0 || (region !== undefined && allowed.includes(region))
 
 /**
@@ -27,8 +27,8 @@
  * @example
  * judgeInstance({ region: 'north', isZoneDrained: true, isAtWarmUpRate: false }, []) // => 'zoneDrained'
  */
-export const judgeInstance = ({ region, isZoneDrained, isAtWarmUpRate }: InstanceStanding, allowedRegions: readonly (readonly string[])[]): InstanceVerdict => {
-  if (!allowedRegions.every((allowed) => isAllowed(region, allowed))) return 'regionNotAllowed'
+export const checkInstanceEligibility = ({ region, isZoneDrained, isAtWarmUpRate }: InstanceStatus, allowedRegions: readonly (readonly string[])[]): InstanceEligibility => {
+  if (!allowedRegions.every((allowed) => isRegionAllowed(region, allowed))) return 'regionNotAllowed'
   if (isZoneDrained) return 'zoneDrained'
   return isAtWarmUpRate ? 'warmingUp' : 'open'
 }
--- a/src/decisions/checkSheet/index.ts
+++ b/src/decisions/checkSheet/index.ts
@@ -22,7 +22,7 @@
 
 const lists: readonly (keyof Sheet)[] = ['clientAccounts', 'services', 'backendServers', 'routes', 'plannedStops']
 
-const checkNames: Check = (sheet) => lists.flatMap((record) => findDoubles(sheet[record].map(({ name }) => name))
+const checkNames: Check = (sheet) => lists.flatMap((record) => findDuplicates(sheet[record].map(({ name }) => name))
   .map((index) => ({ record, index, column: 'name' as const, message: `name "${sheet[record][index]?.name}" stands twice` })))
 
 const checkKeys: Check = (sheet) => {
@@ -59,10 +59,10 @@
   return [{ record, index, column, message: `${column} "${name}" is not in the sheet` }]
 }
 
-const checkUrls: Check = (sheet) => findDoubles(sheet.backendServers.map(({ url }) => url))
+const checkUrls: Check = (sheet) => findDuplicates(sheet.backendServers.map(({ url }) => url))
   .map((index) => ({ record: 'backendServers', index, column: 'url', message: `url ${sheet.backendServers[index]?.url} belongs to another backendServer already` }))
 
-const checkServicesAreUsed: Check = (sheet) => {
+const checkServicesHaveServers: Check = (sheet) => {
   const withServers = new Set(sheet.backendServers.map(({ service }) => service))
   return sheet.services.flatMap(({ name }, index) => {
     if (name === '' || withServers.has(name)) return []
@@ -95,7 +95,7 @@
 /** Each model name and each path prefix must match exactly one route. */
 const checkRouteClashes: Check = (sheet) => (['model', 'path'] as const).flatMap((column) => {
   const targets = sheet.routes.map((route) => column === 'path' ? route.path?.replace(/(?<=.)\/$/, '') ?? '' : route.model ?? '')
-  return findDoubles(targets).map((index) => ({ record: 'routes' as const, index, column, message: `${column} "${sheet.routes[index]?.[column]}" belongs to another route already` }))
+  return findDuplicates(targets).map((index) => ({ record: 'routes' as const, index, column, message: `${column} "${sheet.routes[index]?.[column]}" belongs to another route already` }))
 })
 
 const checkStopTimes: Check = (sheet) => sheet.plannedStops.flatMap(({ startsAt, endsAt }, index): readonly SheetRecordProblem[] => {
@@ -105,16 +105,16 @@
 })
 
 /** Returns the indexes of values that occur earlier in the list; empty values are not compared. */
-const findDoubles = (values: readonly string[]): readonly number[] => {
+const findDuplicates = (values: readonly string[]): readonly number[] => {
   const seen = new Set<string>()
   return values.flatMap((value, index) => {
-    const isDouble = value !== '' && seen.has(value)
+    const isDuplicate = value !== '' && seen.has(value)
     seen.add(value)
-    return isDouble ? [index] : []
+    return isDuplicate ? [index] : []
   })
 }
 
 const checks: readonly Check[] = [
   checkNames, checkKeys, checkLoadMultiples, checkReferences, checkUrls,
-  checkServicesAreUsed, checkRouteTargets, checkRouteClashes, checkStopTimes
+  checkServicesHaveServers, checkRouteTargets, checkRouteClashes, checkStopTimes
 ]
--- a/src/decisions/chooseBackendServer/index.ts
+++ b/src/decisions/chooseBackendServer/index.ts
@@ -49,15 +49,15 @@
   options: PlacementOptions
 ): Candidate | undefined => {
   const allowed = candidates.filter(({ name }) => !demand.excluded.has(name))
-  const underTarget = selectUnderBound(allowed, candidates, findTarget(demand, options))
-  if (underTarget.length === 0) return findLeastLoaded(selectUnderBound(allowed, candidates, options.loadLimit ?? options.loadTarget))
-  const remembered = underTarget.find(({ name }) => name === demand.hintedBackendServer)
-  if (remembered !== undefined) return remembered
+  const underTarget = selectUnderBound(allowed, candidates, selectLoadTarget(demand, options))
+  if (underTarget.length === 0) return selectLeastLoaded(selectUnderBound(allowed, candidates, options.loadLimit ?? options.loadTarget))
+  const hinted = underTarget.find(({ name }) => name === demand.hintedBackendServer)
+  if (hinted !== undefined) return hinted
   const choices = demand.isNewChat ? options.newChatChoices ?? DEFAULT_NEW_CHAT_CHOICES : 1
-  return findLeastLoaded(rankBackendServers(demand.chatKey, underTarget).slice(0, choices))
+  return selectLeastLoaded(rankBackendServers(demand.chatKey, underTarget).slice(0, choices))
 }
 
-const findTarget = ({ isNewChat }: ChatDemand, { loadTarget, newChatLoadTarget = DEFAULT_NEW_CHAT_LOAD_TARGET }: PlacementOptions): number =>
+const selectLoadTarget = ({ isNewChat }: ChatDemand, { loadTarget, newChatLoadTarget = DEFAULT_NEW_CHAT_LOAD_TARGET }: PlacementOptions): number =>
   isNewChat ? Math.min(newChatLoadTarget, loadTarget) : loadTarget
 
 const selectUnderBound = <Candidate extends LoadedCandidate>(allowed: readonly Candidate[], all: readonly Candidate[], multiple: number): readonly Candidate[] => {
@@ -65,7 +65,7 @@
   return allowed.filter((candidate) => candidate.inFlight < (bounds.get(candidate.name) ?? 0))
 }
 
-const loadPerWeight = (candidate: LoadedCandidate): number => candidate.inFlight / candidate.weight
+const computeLoadPerWeight = (candidate: LoadedCandidate): number => candidate.inFlight / candidate.weight
 
-const findLeastLoaded = <Candidate extends LoadedCandidate>(candidates: readonly Candidate[]): Candidate | undefined =>
-  candidates.reduce<Candidate | undefined>((least, candidate) => least === undefined || loadPerWeight(candidate) < loadPerWeight(least) ? candidate : least, undefined)
+const selectLeastLoaded = <Candidate extends LoadedCandidate>(candidates: readonly Candidate[]): Candidate | undefined =>
+  candidates.reduce<Candidate | undefined>((least, candidate) => least === undefined || computeLoadPerWeight(candidate) < computeLoadPerWeight(least) ? candidate : least, undefined)
--- a/src/decisions/compareRecords/index.ts
+++ b/src/decisions/compareRecords/index.ts
@@ -6,40 +6,40 @@
 import type { ConfigurationRecords, RecordChange, RecordStep } from '../../types/index.js'
 
 const compareSection = (base: readonly unknown[], next: readonly unknown[]): readonly RecordStep[] => {
-  const places = new Map(base.map((record, place) => [record, place]))
+  const indexes = new Map(base.map((record, index) => [record, index]))
   const steps: RecordStep[] = []
   let from = 0
   let count = 0
   let added: unknown[] = []
 
-  const endRun = (): void => {
+  const flushRun = (): void => {
     if (count > 0) steps.push({ from, count })
     count = 0
   }
 
-  const endAdded = (): void => {
+  const flushAdded = (): void => {
     if (added.length > 0) steps.push({ records: added })
     added = []
   }
 
-  const extendRun = (place: number): void => {
-    endAdded()
-    if (place !== from + count) endRun()
-    if (count === 0) from = place
+  const extendRun = (index: number): void => {
+    flushAdded()
+    if (index !== from + count) flushRun()
+    if (count === 0) from = index
     count += 1
   }
 
   for (const record of next) {
-    const place = places.get(record)
-    if (place !== undefined) {
-      extendRun(place)
+    const index = indexes.get(record)
+    if (index !== undefined) {
+      extendRun(index)
       continue
     }
-    endRun()
+    flushRun()
     added.push(record)
   }
-  endRun()
-  endAdded()
+  flushRun()
+  flushAdded()
   return steps
 }
 
--- a/src/decisions/compareSheets/index.ts
+++ b/src/decisions/compareSheets/index.ts
@@ -24,14 +24,14 @@
 type NamedRecord = { readonly name: string }
 
 const compareLists = (list: keyof Sheet, before: readonly NamedRecord[], after: readonly NamedRecord[]): readonly SheetChange[] => {
-  const old = new Map(before.map((record) => [record.name, record]))
-  const young = new Map(after.map((record) => [record.name, record]))
-  const names = [...new Set([...old.keys(), ...young.keys()])].sort()
-  return names.flatMap((name) => compareRecords(list, name, old.get(name), young.get(name)))
+  const oldRecords = new Map(before.map((record) => [record.name, record]))
+  const newRecords = new Map(after.map((record) => [record.name, record]))
+  const names = [...new Set([...oldRecords.keys(), ...newRecords.keys()])].sort()
+  return names.flatMap((name) => compareRecordVersions(list, name, oldRecords.get(name), newRecords.get(name)))
 }
 
-const compareRecords = (list: keyof Sheet, name: string, before?: NamedRecord, after?: NamedRecord): readonly SheetChange[] => {
-  if (identify(before) === identify(after)) return []
+const compareRecordVersions = (list: keyof Sheet, name: string, before?: NamedRecord, after?: NamedRecord): readonly SheetChange[] => {
+  if (serializeFields(before) === serializeFields(after)) return []
   return [{
     record: list,
     name,
@@ -43,7 +43,7 @@
 const listFields = (record: NamedRecord): readonly (readonly [string, unknown])[] =>
   Object.entries(record).filter(([field]) => field !== 'name').sort(([one], [other]) => one < other ? -1 : 1)
 
-const identify = (record?: NamedRecord): string => record === undefined ? '' : JSON.stringify(listFields(record).map(([field, value]) => [field, Array.isArray(value) ? [...value].sort() : value]))
+const serializeFields = (record?: NamedRecord): string => record === undefined ? '' : JSON.stringify(listFields(record).map(([field, value]) => [field, Array.isArray(value) ? [...value].sort() : value]))
 
 const describe = (record: NamedRecord): string => listFields(record).map(([field, value]) => `${field}=${describeValue(field, value)}`).join(' ')
 
--- a/src/decisions/computeReturnDelay/index.ts
+++ b/src/decisions/computeRetryAfter/index.ts
@@ -7,12 +7,12 @@
 import type { FinalReason } from '../../types/index.js'
 
 /** A suspended server is tried again after 400 ms, so some servers are available by the time of the retry. */
-const SHORTEST_MS = 250
+const MINIMUM_DELAY_MS = 250
 /** Jitter of twice the minimum delay: spreads a burst of callers enough for two or three retries. */
-const SPREAD_MS = 500
+const MAXIMUM_JITTER_MS = 500
 
 /** Only an operator ends a drain or adds servers to a region, so an immediate retry would be rejected again. */
-const UNPLACEABLE_MS = 1_500
+const MINIMUM_LASTING_DELAY_MS = 1_500
 
 /** Refusal reasons that last longer than the suspension of a server. */
 const LASTING_REASONS: ReadonlySet<FinalReason> = new Set(['zoneDrained', 'regionNotAllowed'])
@@ -27,5 +27,5 @@
  * @example
  * computeReturnDelay(0) // => 250
  */
-export const computeReturnDelay = (randomShare: number, reason: FinalReason = 'noInstance'): number =>
-  (LASTING_REASONS.has(reason) ? UNPLACEABLE_MS : SHORTEST_MS) + SPREAD_MS * randomShare
+export const computeRetryAfter = (randomShare: number, reason: FinalReason = 'noInstance'): number =>
+  (LASTING_REASONS.has(reason) ? MINIMUM_LASTING_DELAY_MS : MINIMUM_DELAY_MS) + MAXIMUM_JITTER_MS * randomShare
--- a/src/decisions/describeRefusal/index.ts
+++ b/src/decisions/createRefusal/index.ts
@@ -33,7 +33,7 @@
  * @example
  * describeRefusal('not-run', 'overShare', 'over the account\'s share', 2_000).status // => 429
  */
-export const describeRefusal = (outcome: RefusalOutcome, reason: RefusalReason, message: string, retryAfterMs?: number): Refusal => ({
+export const createRefusal = (outcome: RefusalOutcome, reason: RefusalReason, message: string, retryAfterMs?: number): Refusal => ({
   outcome,
   reason,
   message,
--- a/src/decisions/editPlannedStop/index.ts
+++ b/src/decisions/editPlannedStop/index.ts
@@ -28,21 +28,21 @@
  * editPlannedStop(sheet, { kind: 'start', backendServer: 'model-1', startsAt: 0 })
  */
 export const editPlannedStop = (sheet: Sheet, edit: DrainEdit): Result<Sheet, DrainEditError> => {
-  const known = sheet.backendServers.some(({ name }) => name === edit.backendServer)
-  if (!known) return failure({ kind: 'unknownBackendServer', message: `there is no backend server "${edit.backendServer}" in the configuration in force` })
+  const isKnown = sheet.backendServers.some(({ name }) => name === edit.backendServer)
+  if (!isKnown) return failure({ kind: 'unknownBackendServer', message: `there is no backend server "${edit.backendServer}" in the configuration in force` })
   return handlers[edit.kind](sheet, edit as never)
 }
 
 /** Tells from its name whether a planned stop was created by a drain rather than by the operator's sheet file. */
-export const isDrain = (name: string): boolean => name.startsWith(NAME_PREFIX)
+export const isDrainName = (name: string): boolean => name.startsWith(NAME_PREFIX)
 
-const nameDrain = (backendServer: string): string => `${NAME_PREFIX}${backendServer}`
+const formatDrainName = (backendServer: string): string => `${NAME_PREFIX}${backendServer}`
 
 type Start = Extract<DrainEdit, { readonly kind: 'start' }>
 
 const start = (sheet: Sheet, { backendServer, startsAt, endsAt }: Start): Result<Sheet, DrainEditError> => {
   if (endsAt !== undefined && endsAt <= startsAt) return failure({ kind: 'endsBeforeStart', message: 'the drain must end after it starts' })
-  const plannedStop: PlannedStop = { name: nameDrain(backendServer), backendServer, startsAt, ...(endsAt === undefined ? {} : { endsAt }) }
+  const plannedStop: PlannedStop = { name: formatDrainName(backendServer), backendServer, startsAt, ...(endsAt === undefined ? {} : { endsAt }) }
   return success({ ...sheet, plannedStops: [...withoutDrain(sheet, backendServer), plannedStop] })
 }
 
@@ -54,6 +54,6 @@
   return failure({ kind: 'noDrain', message: `backend server "${backendServer}" has no drain to cancel${hint}` })
 }
 
-const withoutDrain = (sheet: Sheet, backendServer: string): readonly PlannedStop[] => sheet.plannedStops.filter(({ name }) => name !== nameDrain(backendServer))
+const withoutDrain = (sheet: Sheet, backendServer: string): readonly PlannedStop[] => sheet.plannedStops.filter(({ name }) => name !== formatDrainName(backendServer))
 
 const handlers: { readonly [Kind in DrainEdit['kind']]: (sheet: Sheet, edit: Extract<DrainEdit, { readonly kind: Kind }>) => Result<Sheet, DrainEditError> } = { start, cancel }
--- a/src/decisions/estimateDuration/index.ts
+++ b/src/decisions/estimateDuration/index.ts
@@ -1,19 +1,19 @@
 /** Estimates how long a request takes, for a node that is shutting down. */
 import type { GatewayRoute } from '../../types/index.js'
 
-export type DurationQuestion = {
+export type DurationInput = {
   readonly route: Pick<GatewayRoute, 'retryPolicy' | 'timeoutMs' | 'latencyTargetMs'>
   /** Maximum number of tokens of the answer. */
   readonly outputTokens: number
   /** Time between two tokens in milliseconds, as recently observed. */
-  readonly tokenMs: number
+  readonly tokenIntervalMs: number
 }
 
 /** Default until a stream has been observed: the time between two tokens of a heavily loaded model engine, with a margin. */
-export const USUAL_TOKEN_MS = 10
+export const DEFAULT_TOKEN_INTERVAL_MS = 10
 
 /** Safety factor: a model engine under rising load generates tokens about half as fast, and its slow streams have not ended yet. */
-const PACE_ROOM = 1.9
+const DURATION_SAFETY_FACTOR = 1.9
 
 /**
  * Estimates how long a request takes, erring on the long side.
@@ -24,7 +24,7 @@
  * @example
  * estimateDuration({ route: { retryPolicy: 'safe', timeoutMs: 800, latencyTargetMs: 300 }, outputTokens: 0, tokenMs: 10 }) // => 800
  */
-export const estimateDuration = ({ route, outputTokens, tokenMs }: DurationQuestion): number => {
+export const estimateDuration = ({ route, outputTokens, tokenIntervalMs }: DurationInput): number => {
   if (route.retryPolicy !== 'stream') return route.timeoutMs
-  return Math.min(route.timeoutMs, route.latencyTargetMs + PACE_ROOM * outputTokens * tokenMs)
+  return Math.min(route.timeoutMs, route.latencyTargetMs + DURATION_SAFETY_FACTOR * outputTokens * tokenIntervalMs)
 }
--- a/src/decisions/judgeRollout/index.ts
+++ b/src/decisions/evaluateRollout/index.ts
@@ -52,29 +52,29 @@
  * @example
  * judgeRollout(3, [], undefined) // => { generation: 3, isInForceEverywhere: false, nodes: [] }
  */
-export const judgeRollout = (generation: number, answers: readonly RouterAnswer[], vms: readonly Vm[] | undefined): Rollout => {
+export const evaluateRollout = (generation: number, answers: readonly RouterAnswer[], vms: readonly Vm[] | undefined): Rollout => {
   const reports = answers.flatMap((answer) => answer.kind === 'answered' ? [answer.report] : [])
   const answered = new Set(reports.map(({ nodeId }) => nodeId))
   const members = mergeMembers(reports).filter(({ nodeId }) => !answered.has(nodeId))
   const nodes = [
-    ...reports.map((report) => judgeReport(generation, report)),
-    ...members.map((member) => judgeMember(generation, member, vms)),
-    ...judgeUnknownVms(vms ?? [], reports),
-    ...judgeUnreachable(answers, reports.length)
+    ...reports.map((report) => evaluateReport(generation, report)),
+    ...members.map((member) => evaluateMember(generation, member, vms)),
+    ...listUnknownVms(vms ?? [], reports),
+    ...listUnreachableRouters(answers, reports.length)
   ]
   const isConfirmed = (node: NodeRollout): boolean => node.state === 'inForce' || node.state === 'reported' || node.state === 'gone'
-  return { generation, isInForceEverywhere: reports.length > 0 && nodes.every(isConfirmed), nodes: [...nodes].sort(byZoneAndName) }
+  return { generation, isInForceEverywhere: reports.length > 0 && nodes.every(isConfirmed), nodes: [...nodes].sort(compareByZoneAndName) }
 }
 
-const judgeReport = (generation: number, { nodeId: node, availabilityZone, generation: current, pending }: RouterReport): NodeRollout => {
+const evaluateReport = (generation: number, { nodeId: node, availabilityZone, generation: current, pending }: RouterReport): NodeRollout => {
   if (current >= generation) return { node, availabilityZone, state: 'inForce', generation: current, detail: pending === undefined ? '' : pending.reason }
   const detail = pending === undefined ? 'has not received it' : pending.reason
   return { node, availabilityZone, state: 'behind', generation: current, detail }
 }
 
-const memberJudges: Readonly<Record<Member['state'], (generation: number, member: Member, vms: readonly Vm[] | undefined) => Pick<NodeRollout, 'state' | 'detail'>>> = {
-  live: (generation, member) => judgeHeard(generation, member, 'not queried; live according to its peers'),
-  leaving: (generation, member) => judgeHeard(generation, member, 'not queried; leaving'),
+const memberEvaluators: Readonly<Record<Member['state'], (generation: number, member: Member, vms: readonly Vm[] | undefined) => Pick<NodeRollout, 'state' | 'detail'>>> = {
+  live: (generation, member) => evaluateReportedGeneration(generation, member, 'not queried; live according to its peers'),
+  leaving: (generation, member) => evaluateReportedGeneration(generation, member, 'not queried; leaving'),
   suspect: () => ({ state: 'unconfirmed', detail: 'unreachable: its peers suspect that it is down or partitioned' }),
   dead: (_, member, vms) => {
     if (vms !== undefined && !vms.some((vm) => isVmOf(vm, member))) return { state: 'gone', detail: 'dead according to its peers and no longer in the VM list' }
@@ -82,16 +82,16 @@
   }
 }
 
-const judgeHeard = (generation: number, member: Member, detail: string): Pick<NodeRollout, 'state' | 'detail'> =>
+const evaluateReportedGeneration = (generation: number, member: Member, detail: string): Pick<NodeRollout, 'state' | 'detail'> =>
   ({ state: member.generation >= generation ? 'reported' : 'behind', detail })
 
-const judgeMember = (generation: number, member: Member, vms: readonly Vm[] | undefined): NodeRollout =>
-  ({ node: member.nodeId, availabilityZone: member.availabilityZone, generation: member.generation, ...memberJudges[member.state](generation, member, vms) })
+const evaluateMember = (generation: number, member: Member, vms: readonly Vm[] | undefined): NodeRollout =>
+  ({ node: member.nodeId, availabilityZone: member.availabilityZone, generation: member.generation, ...memberEvaluators[member.state](generation, member, vms) })
 
 const isVmOf = (vm: Vm, { address }: Member): boolean => vm.kind === 'router' && vm.address === `${address.host}:${address.port}`
 
 /** Lists routers of the VM list that no router knows: just started, or partitioned since before the others started. */
-const judgeUnknownVms = (vms: readonly Vm[], reports: readonly RouterReport[]): readonly NodeRollout[] => {
+const listUnknownVms = (vms: readonly Vm[], reports: readonly RouterReport[]): readonly NodeRollout[] => {
   if (reports.length === 0) return []
   const known = reports.flatMap(({ members }) => members)
   return vms
@@ -100,7 +100,7 @@
 }
 
 /** Lists each queried router that did not answer under its URL, since its node id is not known. */
-const judgeUnreachable = (answers: readonly RouterAnswer[], reported: number): readonly NodeRollout[] => answers.flatMap((answer): readonly NodeRollout[] => {
+const listUnreachableRouters = (answers: readonly RouterAnswer[], reported: number): readonly NodeRollout[] => answers.flatMap((answer): readonly NodeRollout[] => {
   if (answer.kind === 'answered') return []
   const detail = `unreachable: ${answer.message}${reported === 0 ? '' : '; it is also listed by its node id if its peers know it'}`
   return [{ node: answer.url, availabilityZone: '', state: 'unconfirmed', detail }]
@@ -124,7 +124,7 @@
   return stateOrder.indexOf(member.state) > stateOrder.indexOf(known.state)
 }
 
-const byZoneAndName = (one: NodeRollout, other: NodeRollout): number => {
+const compareByZoneAndName = (one: NodeRollout, other: NodeRollout): number => {
   const left = `${one.availabilityZone} ${one.node}`
   const right = `${other.availabilityZone} ${other.node}`
   return left < right ? -1 : 1
--- a/src/decisions/judgeRollout/test.ts
+++ b/src/decisions/evaluateRollout/test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { judgeRollout, type RouterAnswer, type RouterReport } from './index.js'
+import { evaluateRollout, type RouterAnswer, type RouterReport } from './index.js'
 import type { Member, Vm } from '../../types/index.js'
 
 const createMember = (index: number, changes: Partial<Member> = {}): Member => ({
@@ -14,13 +14,13 @@
 
 describe('judgeRollout', () => {
   it('confirms nothing when no router answered', () => {
-    const rollout = judgeRollout(3, [{ kind: 'unreachable', url: 'http://10.0.0.1:9000', message: 'no answer in time' }], [])
+    const rollout = evaluateRollout(3, [{ kind: 'unreachable', url: 'http://10.0.0.1:9000', message: 'no answer in time' }], [])
     expect(rollout).toMatchObject({ isInForceEverywhere: false, nodes: [{ node: 'http://10.0.0.1:9000', state: 'unconfirmed' }] })
-    expect(judgeRollout(3, [], undefined).isInForceEverywhere).toBe(false)
+    expect(evaluateRollout(3, [], undefined).isInForceEverywhere).toBe(false)
   })
 
   it('confirms a generation that every router has', () => {
-    expect(judgeRollout(3, [createAnswer(1), createAnswer(2, { generation: 4 })], undefined).isInForceEverywhere).toBe(true)
+    expect(evaluateRollout(3, [createAnswer(1), createAnswer(2, { generation: 4 })], undefined).isInForceEverywhere).toBe(true)
   })
 
   it.each<[string, Partial<Member>, readonly Vm[] | undefined, string, boolean]>([
@@ -31,25 +31,25 @@
     ['a dead peer that is still in the VM list, as in a partitioned zone', { state: 'dead' }, [createVm(1), createVm(2)], 'unconfirmed', false],
     ['a dead peer whose VM is no longer listed', { state: 'dead' }, [createVm(1)], 'gone', true]
   ])('evaluates %s that was not queried', (_, changes, vms, state, isInForceEverywhere) => {
-    const rollout = judgeRollout(3, [createAnswer(1, { members: [createMember(1), createMember(2, changes)] })], vms)
+    const rollout = evaluateRollout(3, [createAnswer(1, { members: [createMember(1), createMember(2, changes)] })], vms)
     expect(rollout.nodes[1]).toMatchObject({ node: 'router-2', state })
     expect(rollout.isInForceEverywhere).toBe(isInForceEverywhere)
   })
 
   it('reports why a router is behind', () => {
-    const rollout = judgeRollout(3, [createAnswer(1, { generation: 2, pending: { generation: 3, reason: 'platform: unavailable' } })], undefined)
+    const rollout = evaluateRollout(3, [createAnswer(1, { generation: 2, pending: { generation: 3, reason: 'platform: unavailable' } })], undefined)
     expect(rollout.nodes[0]).toMatchObject({ state: 'behind', generation: 2, detail: 'platform: unavailable' })
   })
 
   it('does not confirm while the VM list contains a router that no router knows', () => {
-    expect(judgeRollout(3, [createAnswer(1)], [createVm(1), createVm(9)])).toMatchObject({ isInForceEverywhere: false })
+    expect(evaluateRollout(3, [createAnswer(1)], [createVm(1), createVm(9)])).toMatchObject({ isInForceEverywhere: false })
   })
 
   // A generation from before a router's restart would confirm a configuration that it no longer has.
   it('prefers the later incarnation of a restarted router', () => {
     const before = createMember(2, { generation: 3 })
     const after = createMember(2, { incarnation: 2, generation: 0 })
-    const rollout = judgeRollout(3, [createAnswer(1, { members: [after] }), createAnswer(3, { members: [before] })], undefined)
+    const rollout = evaluateRollout(3, [createAnswer(1, { members: [after] }), createAnswer(3, { members: [before] })], undefined)
     expect(rollout.nodes.find(({ node }) => node === 'router-2')).toMatchObject({ state: 'behind', generation: 0 })
   })
 })
--- a/src/decisions/explainRequest/index.ts
+++ b/src/decisions/explainRequest/index.ts
@@ -8,21 +8,21 @@
   readonly fields: Readonly<Record<string, unknown>>
 }
 
-export type RequestStory = {
+export type RequestTimeline = {
   /** The log records of the request in chronological order. */
   readonly steps: readonly LogRecord[]
   /** State changes that its nodes logged shortly before the request and while it was open. */
-  readonly beliefs: readonly LogRecord[]
+  readonly stateChanges: readonly LogRecord[]
 }
 
 /** State changes up to this long before a request are listed: a configuration or the suspension of a server affects requests for a few seconds. */
-const BEFORE_MS = 5_000
+const LOOKBACK_MS = 5_000
 
-const isBelief = ({ fields }: LogRecord): boolean => fields.requestId === undefined
+const isStateChange = ({ fields }: LogRecord): boolean => fields.requestId === undefined
 
 /** Tells whether a state change affects the request: it concerns one of its backend servers, or no particular server. */
-const concerns = (belief: LogRecord, servers: ReadonlySet<unknown>): boolean => {
-  const server = belief.fields.backendServer
+const isRelevant = (stateChange: LogRecord, servers: ReadonlySet<unknown>): boolean => {
+  const server = stateChange.fields.backendServer
   return server === undefined || servers.has(server)
 }
 
@@ -36,15 +36,15 @@
  * @example
  * explainRequest([], 'r1') // => { steps: [], beliefs: [] }
  */
-export const explainRequest = (records: readonly LogRecord[], requestId: string): RequestStory => {
+export const explainRequest = (records: readonly LogRecord[], requestId: string): RequestTimeline => {
   const byTime = [...records].sort((left, right) => left.time - right.time)
   const steps = byTime.filter(({ fields }) => fields.requestId === requestId)
   const first = steps[0]
   const last = steps.at(-1)
-  if (first === undefined || last === undefined) return { steps: [], beliefs: [] }
+  if (first === undefined || last === undefined) return { steps: [], stateChanges: [] }
   const nodes = new Set(steps.map(({ node }) => node))
   const servers = new Set(steps.map(({ fields }) => fields.backendServer))
-  const isNear = ({ time }: LogRecord): boolean => time >= first.time - BEFORE_MS && time <= last.time
-  const beliefs = byTime.filter((record) => isBelief(record) && nodes.has(record.node) && isNear(record) && concerns(record, servers))
-  return { steps, beliefs }
+  const isInPeriod = ({ time }: LogRecord): boolean => time >= first.time - LOOKBACK_MS && time <= last.time
+  const stateChanges = byTime.filter((record) => isStateChange(record) && nodes.has(record.node) && isInPeriod(record) && isRelevant(record, servers))
+  return { steps, stateChanges }
 }
--- a/src/decisions/explainRequest/test.ts
+++ b/src/decisions/explainRequest/test.ts
@@ -18,7 +18,7 @@
 describe('explainRequest', () => {
   test('lists the steps of the request in chronological order', () => expect(explainRequest(records, 'r1').steps.map(({ event }) => event)).toEqual(['request sent', 'request ended']))
   test('lists the state changes of its node that concern its server or no particular server', () => {
-    expect(explainRequest(records, 'r1').beliefs.map(({ event, time }) => [event, time])).toEqual([['configuration source lost', 9_000], ['backend server held', 10_200]])
+    expect(explainRequest(records, 'r1').stateChanges.map(({ event, time }) => [event, time])).toEqual([['configuration source lost', 9_000], ['backend server held', 10_200]])
   })
-  test('returns nothing for an unknown id', () => expect(explainRequest(records, 'r9')).toEqual({ steps: [], beliefs: [] }))
+  test('returns nothing for an unknown id', () => expect(explainRequest(records, 'r9')).toEqual({ steps: [], stateChanges: [] }))
 })
--- a/src/decisions/foldClaims/index.ts
+++ b/src/decisions/foldClaims/index.ts
@@ -104,7 +104,7 @@
 }
 
 const foldEntry = (draft: Draft, entry: ClaimEntry): void => {
-  const fold = folds[entry.kind] as (draft: Draft, entry: ClaimEntry) => void
+  const fold = foldByKind[entry.kind] as (draft: Draft, entry: ClaimEntry) => void
   fold(draft, entry)
 }
 
@@ -129,4 +129,4 @@
   draft.records.set(entry.keyId, { ...record, state: 'complete', answer: entry.answer })
 }
 
-const folds = { claim: foldClaim, release: foldRelease, completion: foldCompletion }
+const foldByKind = { claim: foldClaim, release: foldRelease, completion: foldCompletion }
--- a/src/decisions/grantRepeat/index.ts
+++ b/src/decisions/grantRetry/index.ts
@@ -8,13 +8,13 @@
  */
 import { trimTimes } from '../_lib/trimTimes.js'
 
-export type RepeatBudget = {
+export type RetryWindow = {
   /** Monotonic milliseconds of each first send within the window, oldest first. */
   readonly requests: readonly number[]
-  readonly repeats: readonly number[]
+  readonly retries: readonly number[]
 }
 
-export type RepeatBudgetLimits = {
+export type RetryWindowLimits = {
   /** Retries per request. */
   readonly ratio: number
   /** Retries of the whole fleet in a window in addition to the ratio. */
@@ -23,7 +23,7 @@
 }
 
 /** Share of the budget that is used. The margin covers requests near the edge of a window, which may count in one window and their retry in the next. */
-const USED_SHARE = 0.85
+const USABLE_BUDGET_SHARE = 0.85
 
 /**
  * Decides whether one more retry fits the budget.
@@ -37,10 +37,10 @@
  * @example
  * grantRepeat({ requests: [], repeats: [] }, { ratio: 0.2, extra: 50, windowMs: 10_000 }, 5, 0) // => true
  */
-export const grantRepeat = (budget: RepeatBudget, limits: RepeatBudgetLimits, nodes: number, now: number): boolean => {
+export const grantRetry = (budget: RetryWindow, limits: RetryWindowLimits, nodes: number, now: number): boolean => {
   const from = now - limits.windowMs
   const requests = trimTimes(budget.requests, from).length
-  const repeats = trimTimes(budget.repeats, from).length
-  const allowed = USED_SHARE * (limits.ratio * requests + limits.extra / Math.max(1, nodes))
-  return repeats + 1 <= allowed
+  const retries = trimTimes(budget.retries, from).length
+  const allowed = USABLE_BUDGET_SHARE * (limits.ratio * requests + limits.extra / Math.max(1, nodes))
+  return retries + 1 <= allowed
 }
--- a/src/decisions/grantRepeat/test.ts
+++ b/src/decisions/grantRetry/test.ts
@@ -1,49 +1,49 @@
 import fc from 'fast-check'
 import { describe, expect, test } from 'vitest'
-import { grantRepeat } from './index.js'
+import { grantRetry } from './index.js'
 import { noteSend } from '../noteSend/index.js'
-import type { RepeatBudget } from './index.js'
+import type { RetryWindow } from './index.js'
 
 const limits = { ratio: 0.2, extra: 50, windowMs: 10_000 }
-const empty: RepeatBudget = { requests: [], repeats: [] }
+const empty: RetryWindow = { requests: [], retries: [] }
 
 describe('grantRepeat', () => {
-  test('grants a retry when nothing has been sent', () => expect(grantRepeat(empty, limits, 5, 0)).toBe(true))
+  test('grants a retry when nothing has been sent', () => expect(grantRetry(empty, limits, 5, 0)).toBe(true))
 
   test('divides the constant equally among the nodes', () => {
-    const spent = Array.from({ length: 8 }).reduce<RepeatBudget>((budget) => noteSend(budget, 'repeat', limits, 0), empty)
-    expect(grantRepeat(spent, limits, 1, 0)).toBe(true)
-    expect(grantRepeat(spent, limits, 6, 0)).toBe(false)
+    const spent = Array.from({ length: 8 }).reduce<RetryWindow>((budget) => noteSend(budget, 'repeat', limits, 0), empty)
+    expect(grantRetry(spent, limits, 1, 0)).toBe(true)
+    expect(grantRetry(spent, limits, 6, 0)).toBe(false)
   })
 
   test('ignores what was sent before the window', () => {
-    const spent = Array.from({ length: 50 }).reduce<RepeatBudget>((budget) => noteSend(budget, 'repeat', limits, 0), empty)
-    expect(grantRepeat(spent, limits, 1, 9_999)).toBe(false)
-    expect(grantRepeat(spent, limits, 1, 10_001)).toBe(true)
+    const spent = Array.from({ length: 50 }).reduce<RetryWindow>((budget) => noteSend(budget, 'repeat', limits, 0), empty)
+    expect(grantRetry(spent, limits, 1, 9_999)).toBe(false)
+    expect(grantRetry(spent, limits, 1, 10_001)).toBe(true)
   })
 
   // Guards against a service that fails for all nodes receiving more retries than the budget of the fleet.
   test('keeps the fleet within its budget in every window for any sequence of requests', () => {
-    const send = fc.record({ node: fc.integer({ min: 0, max: 5 }), gapMs: fc.integer({ min: 0, max: 400 }), wantsRepeats: fc.integer({ min: 0, max: 3 }) })
+    const send = fc.record({ node: fc.integer({ min: 0, max: 5 }), gapMs: fc.integer({ min: 0, max: 400 }), wantedRetries: fc.integer({ min: 0, max: 3 }) })
     fc.assert(fc.property(fc.array(send, { maxLength: 300 }), (sends) => {
-      const budgets = new Map<number, RepeatBudget>()
-      const repeats: number[] = []
+      const budgets = new Map<number, RetryWindow>()
+      const retries: number[] = []
       const requests: number[] = []
       let now = 0
-      for (const { node, gapMs, wantsRepeats } of sends) {
+      for (const { node, gapMs, wantedRetries } of sends) {
         now += gapMs
         let budget = noteSend(budgets.get(node) ?? empty, 'first', limits, now)
         requests.push(now)
-        for (let wanted = 0; wanted < wantsRepeats; wanted++) {
-          if (!grantRepeat(budget, limits, 6, now)) break
+        for (let wanted = 0; wanted < wantedRetries; wanted++) {
+          if (!grantRetry(budget, limits, 6, now)) break
           budget = noteSend(budget, 'repeat', limits, now)
-          repeats.push(now)
+          retries.push(now)
         }
         budgets.set(node, budget)
       }
-      for (const end of repeats) {
+      for (const end of retries) {
         const inWindow = (time: number): boolean => time > end - limits.windowMs && time <= end
-        expect(repeats.filter(inWindow).length).toBeLessThanOrEqual(limits.ratio * requests.filter(inWindow).length + limits.extra)
+        expect(retries.filter(inWindow).length).toBeLessThanOrEqual(limits.ratio * requests.filter(inWindow).length + limits.extra)
       }
     }), { seed: 7, numRuns: 60 })
   })
--- a/src/decisions/indexRoutes/index.ts
+++ b/src/decisions/indexRoutes/index.ts
@@ -13,10 +13,10 @@
   const byHost = new Map<string, GatewayRoute[]>()
   for (const route of routes) {
     const host = route.host.toLowerCase()
-    const known = byHost.get(host)
-    if (known === undefined) byHost.set(host, [route])
-    else known.push(route)
+    const hostRoutes = byHost.get(host)
+    if (hostRoutes === undefined) byHost.set(host, [route])
+    else hostRoutes.push(route)
   }
-  for (const known of byHost.values()) known.sort((left, right) => right.pathPrefix.length - left.pathPrefix.length)
+  for (const hostRoutes of byHost.values()) hostRoutes.sort((left, right) => right.pathPrefix.length - left.pathPrefix.length)
   return byHost
 }
--- a/src/decisions/isMoveDue/index.ts
+++ b/src/decisions/isFailoverDue/index.ts
@@ -4,44 +4,44 @@
  * only this request gets no response.
  */
 
-export type Silence = {
+export type FailoverInput = {
   /** Whether a part of the answer has arrived. */
   readonly hasBegun: boolean
   /** Milliseconds since the last bytes of this answer, or since it was sent. */
   readonly waitedMs: number
   /** Milliseconds since the last bytes of any answer from the server. */
-  readonly instanceSilentMs: number
-  readonly goalMs: number
-  readonly pauseGoalMs: number
+  readonly instanceWaitedMs: number
+  readonly firstByteTargetMs: number
+  readonly pauseTargetMs: number
   /** Usual time to first byte on this route in milliseconds; `undefined` until it is known. */
-  readonly usualMs: number | undefined
+  readonly usualFirstByteMs: number | undefined
 }
 
 /** A lost packet is retransmitted after 200 to 300 ms, so a server that does not respond for less may be healthy. */
-const SHORTEST_SILENCE_MS = 400
+const MINIMUM_WAIT_MS = 400
 /** Multiple of the usual time to first byte after which a request leaves a server that responds to no request. */
-const USUAL_TIMES = 3
+const USUAL_TIME_MULTIPLE = 3
 /** Multiple of the target time to first byte after which a request moves although its server responds to others. */
-const GOAL_TIMES_ALONE = 1.5
+const REQUEST_TARGET_MULTIPLE = 1.5
 /** Multiple of the target pause between bytes after which a stream moves; callers abandon a stream after eight. */
-const PAUSE_TIMES_ALONE = 5
+const STREAM_PAUSE_MULTIPLE = 5
 
 /**
  * Decides whether to move a request to another server.
  *
- * @param silence - How long the request and its server have been without a response, and the targets.
+ * @param input - How long the request and its server have been without a response, and the targets.
  * @returns Whether the request should move.
  *
  * @example
  * isMoveDue({ hasBegun: false, waitedMs: 100, instanceSilentMs: 100, goalMs: 300, pauseGoalMs: 0, usualMs: 60 }) // => false
  */
-export const isMoveDue = (silence: Silence): boolean => {
-  const { hasBegun, waitedMs, instanceSilentMs, goalMs, pauseGoalMs, usualMs } = silence
+export const isFailoverDue = (input: FailoverInput): boolean => {
+  const { hasBegun, waitedMs, instanceWaitedMs, firstByteTargetMs, pauseTargetMs, usualFirstByteMs } = input
   if (hasBegun) {
-    return waitedMs >= Math.max(PAUSE_TIMES_ALONE * pauseGoalMs, 2 * SHORTEST_SILENCE_MS) ||
-      (waitedMs >= 2 * SHORTEST_SILENCE_MS && instanceSilentMs >= 2 * SHORTEST_SILENCE_MS)
+    return waitedMs >= Math.max(STREAM_PAUSE_MULTIPLE * pauseTargetMs, 2 * MINIMUM_WAIT_MS) ||
+      (waitedMs >= 2 * MINIMUM_WAIT_MS && instanceWaitedMs >= 2 * MINIMUM_WAIT_MS)
   }
-  if (waitedMs >= Math.max(SHORTEST_SILENCE_MS, GOAL_TIMES_ALONE * goalMs)) return true
-  const patience = Math.max(SHORTEST_SILENCE_MS, USUAL_TIMES * (usualMs ?? goalMs))
-  return waitedMs >= patience && instanceSilentMs >= patience
+  if (waitedMs >= Math.max(MINIMUM_WAIT_MS, REQUEST_TARGET_MULTIPLE * firstByteTargetMs)) return true
+  const serverTimeoutMs = Math.max(MINIMUM_WAIT_MS, USUAL_TIME_MULTIPLE * (usualFirstByteMs ?? firstByteTargetMs))
+  return waitedMs >= serverTimeoutMs && instanceWaitedMs >= serverTimeoutMs
 }
--- /dev/null
+++ b/src/decisions/isFailoverDue/test.ts
@@ -0,0 +1,17 @@
+import { describe, expect, test } from 'vitest'
+import { isFailoverDue } from './index.js'
+import type { FailoverInput } from './index.js'
+
+const createInput = (changes: Partial<FailoverInput> = {}): FailoverInput =>
+  ({ hasBegun: false, waitedMs: 0, instanceWaitedMs: 0, firstByteTargetMs: 800, pauseTargetMs: 300, usualFirstByteMs: 60, ...changes })
+
+describe('isMoveDue', () => {
+  test('waits for a lost packet to be retransmitted', () => expect(isFailoverDue(createInput({ waitedMs: 350, instanceWaitedMs: 350 }))).toBe(false))
+  test('moves soon from a server that responds to no request', () => expect(isFailoverDue(createInput({ waitedMs: 420, instanceWaitedMs: 420 }))).toBe(true))
+  test('waits longer when the server responds to other requests', () => expect(isFailoverDue(createInput({ waitedMs: 420, instanceWaitedMs: 5 }))).toBe(false))
+  test('moves from such a server well after the target', () => expect(isFailoverDue(createInput({ waitedMs: 1_250, instanceWaitedMs: 5 }))).toBe(true))
+  test('waits longer where answers usually take longer', () => expect(isFailoverDue(createInput({ waitedMs: 800, instanceWaitedMs: 800, usualFirstByteMs: 400 }))).toBe(false))
+  test('does not move a stream during a short pause', () => expect(isFailoverDue(createInput({ hasBegun: true, waitedMs: 1_000, instanceWaitedMs: 10 }))).toBe(false))
+  test('moves a stream before its caller abandons it', () => expect(isFailoverDue(createInput({ hasBegun: true, waitedMs: 1_600, instanceWaitedMs: 10 }))).toBe(true))
+  test('moves a stream sooner from a server that responds to no request', () => expect(isFailoverDue(createInput({ hasBegun: true, waitedMs: 850, instanceWaitedMs: 850 }))).toBe(true))
+})
--- a/src/decisions/noteSend/index.ts
+++ b/src/decisions/noteSend/index.ts
@@ -1,4 +1,4 @@
-import type { RepeatBudget, RepeatBudgetLimits } from '../grantRepeat/index.js'
+import type { RetryWindow, RetryWindowLimits } from '../grantRetry/index.js'
 import { trimTimes } from '../_lib/trimTimes.js'
 
 /**
@@ -13,9 +13,9 @@
  * @example
  * noteSend({ requests: [], repeats: [] }, 'repeat', { ratio: 0.2, extra: 50, windowMs: 10_000 }, 5).repeats // => [5]
  */
-export const noteSend = (budget: RepeatBudget, kind: 'first' | 'repeat', limits: RepeatBudgetLimits, now: number): RepeatBudget => {
+export const noteSend = (budget: RetryWindow, kind: 'first' | 'repeat', limits: RetryWindowLimits, now: number): RetryWindow => {
   const from = now - limits.windowMs
   const requests = trimTimes(budget.requests, from)
-  const repeats = trimTimes(budget.repeats, from)
-  return kind === 'first' ? { requests: [...requests, now], repeats } : { requests, repeats: [...repeats, now] }
+  const repeats = trimTimes(budget.retries, from)
+  return kind === 'first' ? { requests: [...requests, now], retries: repeats } : { requests, retries: [...repeats, now] }
 }
--- a/src/decisions/noteSend/test.ts
+++ b/src/decisions/noteSend/test.ts
@@ -5,8 +5,8 @@
 
 describe('noteSend', () => {
   test('records first sends and retries separately', () => {
-    const first = noteSend({ requests: [], repeats: [] }, 'first', limits, 1)
-    expect(noteSend(first, 'repeat', limits, 2)).toEqual({ requests: [1], repeats: [2] })
+    const first = noteSend({ requests: [], retries: [] }, 'first', limits, 1)
+    expect(noteSend(first, 'repeat', limits, 2)).toEqual({ requests: [1], retries: [2] })
   })
-  test('drops sends that are older than the window', () => expect(noteSend({ requests: [0], repeats: [0, 5] }, 'first', limits, 10_003)).toEqual({ requests: [10_003], repeats: [5] }))
+  test('drops sends that are older than the window', () => expect(noteSend({ requests: [0], retries: [0, 5] }, 'first', limits, 10_003)).toEqual({ requests: [10_003], retries: [5] }))
 })
--- a/src/decisions/findForwardTargets/index.ts
+++ b/src/decisions/selectForwardTargets/index.ts
@@ -17,8 +17,8 @@
  * @example
  * findForwardTargets(['a', 'b', 'c', 'd'], 'a', 2) // => ['b', 'c']
  */
-export const findForwardTargets = <Node>(ranked: readonly Node[], self: Node, fanOut: number): readonly Node[] => {
-  const place = ranked.indexOf(self)
-  if (place === -1) return []
-  return ranked.slice(place * fanOut + 1, place * fanOut + fanOut + 1)
+export const selectForwardTargets = <Node>(ranked: readonly Node[], self: Node, fanOut: number): readonly Node[] => {
+  const index = ranked.indexOf(self)
+  if (index === -1) return []
+  return ranked.slice(index * fanOut + 1, index * fanOut + fanOut + 1)
 }
--- a/src/decisions/findForwardTargets/test.ts
+++ b/src/decisions/selectForwardTargets/test.ts
@@ -1,14 +1,14 @@
 import { describe, expect, it } from 'vitest'
-import { findForwardTargets } from './index.js'
+import { selectForwardTargets } from './index.js'
 
 describe('findForwardTargets', () => {
   it.each([1, 2, 3, 7, 45])('reaches each of %i routers exactly once', (size) => {
     const ranked = Array.from({ length: size }, (_, index) => index)
-    const reached = ranked.flatMap((self) => findForwardTargets(ranked, self, 2))
+    const reached = ranked.flatMap((self) => selectForwardTargets(ranked, self, 2))
     expect([ranked[0], ...reached].sort((one, other) => one! - other!)).toEqual(ranked)
   })
 
   it('returns no targets for a router that is not ranked', () => {
-    expect(findForwardTargets(['a', 'b'], 'c', 2)).toEqual([])
+    expect(selectForwardTargets(['a', 'b'], 'c', 2)).toEqual([])
   })
 })
--- a/src/decisions/findOverShare/index.ts
+++ b/src/decisions/selectOverShareAccount/index.ts
@@ -21,11 +21,11 @@
  *   { clientAccount: 'calm', weight: 1, usage: 10, waitingSince: 2, queuedTokens: 10 }
  * ]) // => 'busy'
  */
-export const findOverShare = (contenders: readonly QueuedContender[]): string | undefined => {
-  const measure = (contender: QueuedContender): number => measureUse({ ...contender, usage: contender.usage + contender.queuedTokens })
+export const selectOverShareAccount = (contenders: readonly QueuedContender[]): string | undefined => {
+  const measureUseWithQueue = (contender: QueuedContender): number => measureUse({ ...contender, usage: contender.usage + contender.queuedTokens })
   let worst: { readonly clientAccount: string, readonly use: number } | undefined
   for (const contender of contenders) {
-    const use = measure(contender)
+    const use = measureUseWithQueue(contender)
     if (worst === undefined || use > worst.use) worst = { clientAccount: contender.clientAccount, use }
   }
   return worst?.clientAccount
--- a/src/decisions/selectVerdict/index.ts
+++ b/src/decisions/selectVerdict/index.ts
@@ -1,8 +1,8 @@
 /** Selects the reason to report when every backend server of a service is ineligible, each for a reason of its own. */
-import type { InstanceVerdict } from '../judgeInstance/index.js'
+import type { InstanceEligibility } from '../checkInstanceEligibility/index.js'
 
 /** Ordered by how soon the reason can pass, as Retry-After is derived from the selected reason. */
-const SOONEST_FIRST: readonly InstanceVerdict[] = ['open', 'warmingUp', 'zoneDrained', 'regionNotAllowed']
+const SOONEST_FIRST: readonly InstanceEligibility[] = ['open', 'warmingUp', 'zoneDrained', 'regionNotAllowed']
 
 /**
  * Selects the reason why no server of a service may get a request.
@@ -13,5 +13,5 @@
  * @example
  * selectVerdict(['zoneDrained', 'warmingUp']) // => 'warmingUp'
  */
-export const selectVerdict = (verdicts: readonly InstanceVerdict[]): InstanceVerdict | undefined =>
+export const selectVerdict = (verdicts: readonly InstanceEligibility[]): InstanceEligibility | undefined =>
   SOONEST_FIRST.find((verdict) => verdicts.includes(verdict))
--- a/src/services/admission/_lib/createServiceQueue.ts
+++ b/src/services/admission/_lib/createServiceQueue.ts
@@ -4,8 +4,8 @@
  * refuses requests that the queue can't hold or serve before their deadline.
  */
 import { failure, success } from '../../../kernel/index.js'
-import { findOverShare } from '../../../decisions/findOverShare/index.js'
-import type { QueuedContender } from '../../../decisions/findOverShare/index.js'
+import { selectOverShareAccount } from '../../../decisions/selectOverShareAccount/index.js'
+import type { QueuedContender } from '../../../decisions/selectOverShareAccount/index.js'
 import { shareFairly } from '../../../decisions/shareFairly/index.js'
 import type { AdmissionDemand, AdmissionRefusal, AdmissionTicket, Clock, RefusalReason, Result, Timer } from '../../../types/index.js'
 import type { AdmissionOptions } from '../index.js'
@@ -142,14 +142,14 @@
 
   /** Evicts a request of the account furthest over its share; returns false when that is the account of the new request. */
   const makeRoom = (demand: AdmissionDemand): boolean => {
-    const overnightWorst = findOverShare(overnight.accounts().map(describe))
+    const overnightWorst = selectOverShareAccount(overnight.accounts().map(describe))
     if (!demand.overnight && overnightWorst !== undefined) return evict(overnight, overnightWorst)
     if (demand.overnight && overnightWorst === undefined) return false
     const list = listOf(demand)
     const known = list.find(demand.clientAccount)
     const newcomer = { clientAccount: demand.clientAccount, waitingSince: clock.now(), queuedTokens: (known?.queuedTokens ?? 0) + demand.tokens, length: 0 }
     const contenders = [...list.accounts().filter((account) => account.clientAccount !== demand.clientAccount), newcomer]
-    const worst = findOverShare(contenders.map(describe))
+    const worst = selectOverShareAccount(contenders.map(describe))
     return worst !== undefined && worst !== demand.clientAccount && evict(list, worst)
   }
 
--- a/src/services/backendHealth/index.ts
+++ b/src/services/backendHealth/index.ts
@@ -42,8 +42,8 @@
 
 export const DEFAULT_EJECTION_LIMITS: EjectionLimits = {
   failures: 3,
-  refusals: 2,
-  silences: 3,
+  failedConnections: 2,
+  unansweredProbes: 3,
   failureRate: 0.4,
   holdMs: 1000,
   maximumHoldMs: 60_000,
--- a/src/services/dispatch/_lib/readRoutedRequest.ts
+++ b/src/services/dispatch/_lib/readRoutedRequest.ts
@@ -2,7 +2,7 @@
  * Validates a caller's request and determines its client account, route, chat
  * and deadline. An invalid request is refused with the outcome "not-run".
  */
-import { describeRefusal } from '../../../decisions/describeRefusal/index.js'
+import { createRefusal } from '../../../decisions/createRefusal/index.js'
 import { matchRoute } from '../../../decisions/matchRoute/index.js'
 import { normalisePath, type NormalPath } from '../../../decisions/normalisePath/index.js'
 import { CHAT_COOKIE } from '../../../decisions/selectReturnedHeaders/index.js'
@@ -39,7 +39,7 @@
 const BYTES_PER_TOKEN = 4
 
 const refuse = (reason: RefusalReason, message: string): Result<never, Refusal> =>
-  failure(describeRefusal('not-run', reason, message))
+  failure(createRefusal('not-run', reason, message))
 
 /**
  * Looks up the account by the hash of the key. A caller can't control the hash
--- a/src/services/dispatch/_lib/runAttempts.ts
+++ b/src/services/dispatch/_lib/runAttempts.ts
@@ -1,6 +1,6 @@
 /** Tries one backend server after another until there is a final answer. */
 import { verifyChatHint } from '../../../decisions/verifyChatHint/index.js'
-import { describeRefusal } from '../../../decisions/describeRefusal/index.js'
+import { createRefusal } from '../../../decisions/createRefusal/index.js'
 import type { Placement, Refusal, RefusalOutcome, RefusalReason, StoredAnswer } from '../../../types/index.js'
 import type { AttemptEnd } from './attemptEnd.js'
 import { createRetryPlanner, type RetryPlanner } from './createRetryPlanner.js'
@@ -30,7 +30,7 @@
 const refuse = (context: RequestContext, outcome: RefusalOutcome, reason: RefusalReason, message: string, comeBackAfterMs?: number): RequestResult => {
   const isRepeatSafe = outcome === 'not-run' || mayRepeat(context)
   const retryAfterMs = isRepeatSafe ? comeBackAfterMs ?? context.limits.comeBackAfterMs : undefined
-  return { kind: 'refused', refusal: describeRefusal(outcome, reason, message, retryAfterMs) }
+  return { kind: 'refused', refusal: createRefusal(outcome, reason, message, retryAfterMs) }
 }
 
 /** Final refusal of a request that its caller or its deadline has ended. */
--- a/src/services/dispatch/_lib/runClaimed.ts
+++ b/src/services/dispatch/_lib/runClaimed.ts
@@ -3,7 +3,7 @@
  * the idempotency key is granted, and the claim is released only when the
  * request was certainly not sent.
  */
-import { describeRefusal } from '../../../decisions/describeRefusal/index.js'
+import { createRefusal } from '../../../decisions/createRefusal/index.js'
 import type { ClaimKey, ClaimOutcome } from '../../../types/index.js'
 import { hashHex } from './createAuthenticator.js'
 import type { RequestContext } from './requestContext.js'
@@ -24,7 +24,7 @@
 const RELEASE_WAIT_MS = 250
 
 const refuseUnsent = (context: RequestContext, reason: 'platformUnavailable' | 'deadline' | 'cancelled', message: string): RequestResult =>
-  ({ kind: 'refused', refusal: describeRefusal('not-run', reason, message, context.limits.comeBackAfterMs) })
+  ({ kind: 'refused', refusal: createRefusal('not-run', reason, message, context.limits.comeBackAfterMs) })
 
 const release = ({ dependencies }: RequestContext, key: ClaimKey, claimId: string): Promise<void> =>
   dependencies.claims.release(key, claimId).catch((error: unknown) => {
@@ -69,11 +69,11 @@
   },
   claimedElsewhere: async ({ limits }) => ({
     kind: 'refused',
-    refusal: describeRefusal('unknown', 'claimedElsewhere', 'a request under this key was sent before; its outcome is not known here', limits.comeBackAfterMs)
+    refusal: createRefusal('unknown', 'claimedElsewhere', 'a request under this key was sent before; its outcome is not known here', limits.comeBackAfterMs)
   }),
   keyReused: async () => ({
     kind: 'refused',
-    refusal: describeRefusal('not-run', 'idempotencyKeyReused', 'this Idempotency-Key was used with another request')
+    refusal: createRefusal('not-run', 'idempotencyKeyReused', 'this Idempotency-Key was used with another request')
   }),
   // Only this request is known not to have run. An earlier one with the same key may have run, which
   // can't be read now, so a retry under a new key could execute it twice.
--- a/src/services/dispatch/_lib/runRequest.ts
+++ b/src/services/dispatch/_lib/runRequest.ts
@@ -1,5 +1,5 @@
 /** Runs one routed request from admission to its final answer. */
-import { describeRefusal } from '../../../decisions/describeRefusal/index.js'
+import { createRefusal } from '../../../decisions/createRefusal/index.js'
 import type { AdmissionDemand, Refusal, RefusalReason } from '../../../types/index.js'
 import type { RequestFate } from './createLedger.js'
 import type { TokenUsage } from './readTokenUsage.js'
@@ -53,11 +53,11 @@
     // Admitted after the request ended: the ticket is returned unused.
     admitting.then((late) => { if (late.ok) late.value.finish(0) }, () => undefined)
     const reason = scope.ended() === 'hungUp' ? 'cancelled' : 'deadline'
-    return { kind: 'refused', refusal: describeRefusal('not-run', reason, 'ended while it waited for its turn', limits.comeBackAfterMs) }
+    return { kind: 'refused', refusal: createRefusal('not-run', reason, 'ended while it waited for its turn', limits.comeBackAfterMs) }
   }
   if (!admitted.ok) {
     const { reason, retryAfterMs } = admitted.error
-    return { kind: 'refused', refusal: describeRefusal('not-run', reason, 'not admitted now', retryAfterMs) }
+    return { kind: 'refused', refusal: createRefusal('not-run', reason, 'not admitted now', retryAfterMs) }
   }
   let tokensUsed = 0
   try {
--- a/src/services/dispatch/index.ts
+++ b/src/services/dispatch/index.ts
@@ -3,7 +3,7 @@
  * for admission, chooses a backend server, retries after failures and returns
  * the final answer to the caller.
  */
-import { describeRefusal } from '../../decisions/describeRefusal/index.js'
+import { createRefusal } from '../../decisions/createRefusal/index.js'
 import type { RunningService } from '../../kernel/index.js'
 import type { CallerAnswer, CallerRequest, Dispatch } from '../../types/index.js'
 import { createHintAuthenticator } from './_lib/createAuthenticator.js'
@@ -72,7 +72,7 @@
     } catch (error) {
       // A broken invariant fails this request only: its caller gets a refusal, other requests go on.
       dependencies.logger.error('a request failed inside the router', { requestId: routed.request.requestId, error: String(error) })
-      const refusal = describeRefusal('unknown', 'backendFailed', 'the router failed')
+      const refusal = createRefusal('unknown', 'backendFailed', 'the router failed')
       reply.refuse(refusal)
       return describeEnding(refusal)
     } finally {
@@ -110,7 +110,7 @@
     const finish = accept()
     const configuration = dependencies.configuration.current()
     if (configuration !== undefined) return await answerIndexed(indexConfiguration(configuration), request, signal, finish)
-    const refusal = describeRefusal('not-run', 'noConfiguration', 'no configuration is in force here yet', limits.comeBackAfterMs)
+    const refusal = createRefusal('not-run', 'noConfiguration', 'no configuration is in force here yet', limits.comeBackAfterMs)
     finish(describeEnding(refusal))
     return { kind: 'refused', refusal }
   }
--- a/src/services/fleetLoad/index.ts
+++ b/src/services/fleetLoad/index.ts
@@ -10,7 +10,7 @@
 import { createSnapshotStore } from './_lib/createSnapshotStore.js'
 import type { SnapshotStore } from './_lib/createSnapshotStore.js'
 import { createZoneRanks } from './_lib/createZoneRanks.js'
-import { findForwardTargets } from '../../decisions/findForwardTargets/index.js'
+import { selectForwardTargets } from '../../decisions/selectForwardTargets/index.js'
 import { packLoadCounts, unpackLoadCounts } from '../../decisions/packLoadCounts/index.js'
 import type { RunningService } from '../../kernel/index.js'
 import type { Clock, LoadSnapshot, Member, Membership, PeerTransport, Timer } from '../../types/index.js'
@@ -170,7 +170,7 @@
     const ranked = ranks.rank(ownZone(), snapshot.group)
     const self = ranked.find(isSelf)
     if (self === undefined) return
-    for (const receiver of findForwardTargets(ranked, self, fanOut)) transport.send(receiver.address, { kind: 'loadSnapshot', snapshot })
+    for (const receiver of selectForwardTargets(ranked, self, fanOut)) transport.send(receiver.address, { kind: 'loadSnapshot', snapshot })
   }
 
   const takeFleet = (snapshot: LoadSnapshot): void => {
--- a/src/services/forwarding/_lib/chooseInstance.ts
+++ b/src/services/forwarding/_lib/chooseInstance.ts
@@ -1,8 +1,8 @@
 /** Selects the backend server for the next attempt of a request: gathers the state of the node and calls `placeRequest`. */
 import { computeLoadBound, defaultPlacementWeights, placeRequest } from '../../../decisions/placeRequest/index.js'
 import type { InstanceCandidate, PlacementWeights, PromptKeeper } from '../../../decisions/placeRequest/index.js'
-import { judgeInstance } from '../../../decisions/judgeInstance/index.js'
-import type { InstanceVerdict } from '../../../decisions/judgeInstance/index.js'
+import { checkInstanceEligibility } from '../../../decisions/checkInstanceEligibility/index.js'
+import type { InstanceEligibility } from '../../../decisions/checkInstanceEligibility/index.js'
 import { selectVerdict } from '../../../decisions/selectVerdict/index.js'
 import type { BackendInstance, GatewayRequest } from '../../../types/index.js'
 import { formatInstanceKey } from '../../../decisions/formatInstanceKey/index.js'
@@ -35,14 +35,14 @@
 const listUntried = ({ registry }: ChoiceDependencies, { service, tried }: Choice): readonly BackendInstance[] =>
   registry.list(service).filter(({ id }) => !tried.has(id))
 
-const judge = ({ zoneDrains, warmUp, regionByZone }: ChoiceDependencies, { allowedRegions }: Choice, instance: BackendInstance): InstanceVerdict => judgeInstance({
+const judge = ({ zoneDrains, warmUp, regionByZone }: ChoiceDependencies, { allowedRegions }: Choice, instance: BackendInstance): InstanceEligibility => checkInstanceEligibility({
   region: regionByZone.get(instance.availabilityZone),
   isZoneDrained: zoneDrains.isDrained(instance.availabilityZone),
   isAtWarmUpRate: warmUp.isAtRate(instance)
 }, allowedRegions)
 
 /** Why no backend server is eligible for the request; `undefined` where all of them were tried. */
-export const findBarrier = (dependencies: ChoiceDependencies, choice: Choice): InstanceVerdict | undefined =>
+export const findBarrier = (dependencies: ChoiceDependencies, choice: Choice): InstanceEligibility | undefined =>
   selectVerdict(listUntried(dependencies, choice).map((instance) => judge(dependencies, choice, instance)))
 
 /** Suspended servers are used only when no other is left: a server that probably fails is better than a refusal. */
--- a/src/services/forwarding/_lib/createEnding.ts
+++ b/src/services/forwarding/_lib/createEnding.ts
@@ -4,7 +4,7 @@
  */
 import type { CallerAnswer } from './createCallerAnswer.js'
 import type { RunOutcome, RunRecord } from './createRunRecord.js'
-import { computeReturnDelay } from '../../../decisions/computeReturnDelay/index.js'
+import { computeRetryAfter } from '../../../decisions/computeRetryAfter/index.js'
 import type { FinalReason, GatewayRefusal, InstanceAnswer, LogFields, RandomSource } from '../../../types/index.js'
 
 /** A failure that a backend server reported in a complete answer of its own. */
@@ -64,7 +64,7 @@
   }
 
   const giveUp: Ending['giveUp'] = (reason, statusIfUnknown, evidence = {}) => {
-    if (caller.hasBegun() || !readProgress().mayHaveRun) return refuse({ status: 503, reason, retryAfterMs: computeReturnDelay(random.next(), reason) }, evidence)
+    if (caller.hasBegun() || !readProgress().mayHaveRun) return refuse({ status: 503, reason, retryAfterMs: computeRetryAfter(random.next(), reason) }, evidence)
     if (stated !== undefined) return finishStated()
     refuse({ status: statusIfUnknown, reason }, evidence)
   }
--- a/src/services/forwarding/_lib/createRun.ts
+++ b/src/services/forwarding/_lib/createRun.ts
@@ -13,7 +13,7 @@
 import { createSendingNotes } from './createSendingNotes.js'
 import { describeSend } from './describeSend.js'
 import { formatInstanceKey } from '../../../decisions/formatInstanceKey/index.js'
-import { isMoveDue } from '../../../decisions/isMoveDue/index.js'
+import { isFailoverDue } from '../../../decisions/isFailoverDue/index.js'
 import { selectTarget } from '../../../decisions/selectTarget/index.js'
 import type {
   CallerSink, ExchangeFailure, GatewayAccount, GatewayRefusal, GatewayRequest, GatewayRoute, InstanceAnswer, LogFields
@@ -257,13 +257,13 @@
     if (now >= deadlineAt()) return giveUp(mayHaveRun ? 'deadline' : 'deadlineBeforeSend', 504)
     const current = sending
     if (current === undefined || route === undefined || !current.isSent) return
-    const isDue = isMoveDue({
+    const isDue = isFailoverDue({
       hasBegun: caller.hasBegun(),
       waitedMs: now - current.lastBytesAt,
-      instanceSilentMs: health.silentMs(current.instance),
-      goalMs: route.latencyTargetMs,
-      pauseGoalMs: route.eventGapTargetMs,
-      usualMs: context.usualTimes.usual(route.name)
+      instanceWaitedMs: health.silentMs(current.instance),
+      firstByteTargetMs: route.latencyTargetMs,
+      pauseTargetMs: route.eventGapTargetMs,
+      usualFirstByteMs: context.usualTimes.usual(route.name)
     })
     if (!isDue) return
     if (isRepeatable() && canSendAgain()) return move(current, now)
--- a/src/services/forwarding/_lib/createStopGate.ts
+++ b/src/services/forwarding/_lib/createStopGate.ts
@@ -1,8 +1,8 @@
 /** Decides whether a node that is shutting down accepts a request or retries it. */
 import type { StreamDurations } from './createStreamDurations.js'
 import type { TokenPace } from './createTokenPace.js'
-import { estimateDuration, USUAL_TOKEN_MS } from '../../../decisions/estimateDuration/index.js'
-import { judgeStop } from '../../../decisions/judgeStop/index.js'
+import { estimateDuration, DEFAULT_TOKEN_INTERVAL_MS } from '../../../decisions/estimateDuration/index.js'
+import { admitDuringShutdown } from '../../../decisions/admitDuringShutdown/index.js'
 import type { Clock, GatewayRequest, GatewayRoute } from '../../../types/index.js'
 
 export type StopGateDependencies = {
@@ -24,7 +24,7 @@
 
   /** Milliseconds a token of the slowest service to which the route may send. */
   const readTokenMs = (route: GatewayRoute): number =>
-    Math.max(...route.targets.map(({ service }) => tokenPace.read(service) ?? USUAL_TOKEN_MS))
+    Math.max(...route.targets.map(({ service }) => tokenPace.read(service) ?? DEFAULT_TOKEN_INTERVAL_MS))
 
   return {
     begin: (endsAt) => { stop = { beganAt: clock.now(), endsAt } },
@@ -32,12 +32,12 @@
       if (stop === undefined) return true
       const now = clock.now()
       const leftMs = stop.endsAt - now
-      return judgeStop({
-        leftMs,
-        limitMs: longestMs,
+      return admitDuringShutdown({
+        untilExitMs: leftMs,
+        untilDeadlineMs: longestMs,
         arrivedAfterMs: request.receivedAt - stop.beganAt,
         lateShare: route.retryPolicy === 'stream' ? streamDurations.shareOver(route.name, leftMs, now) : undefined,
-        estimatedMs: estimateDuration({ route, outputTokens: request.tokens.output, tokenMs: readTokenMs(route) })
+        estimatedDurationMs: estimateDuration({ route, outputTokens: request.tokens.output, tokenIntervalMs: readTokenMs(route) })
       })
     }
   }
--- a/src/services/forwarding/_lib/createTokenPace.test.ts
+++ b/src/services/forwarding/_lib/createTokenPace.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, test } from 'vitest'
 import { createTokenPace } from './createTokenPace.js'
-import { estimateDuration, USUAL_TOKEN_MS } from '../../../decisions/estimateDuration/index.js'
+import { estimateDuration, DEFAULT_TOKEN_INTERVAL_MS } from '../../../decisions/estimateDuration/index.js'
 
 const ROUTE = { retryPolicy: 'stream', timeoutMs: 15_000, latencyTargetMs: 800 } as const
 const GRACE_MS = 7_500
@@ -40,7 +40,7 @@
     ['accepted on engines that are fast enough', 3.5, true],
     ['refused on engines three times slower', 3.5 * 3, false]
   ])('a long stream at the start of a shutdown is %s', (_what, tokenMs, isTaken) => {
-    const estimate = estimateDuration({ route: ROUTE, outputTokens: TOKENS, tokenMs: createPaceOf(tokenMs).read('engines') ?? USUAL_TOKEN_MS })
+    const estimate = estimateDuration({ route: ROUTE, outputTokens: TOKENS, tokenIntervalMs: createPaceOf(tokenMs).read('engines') ?? DEFAULT_TOKEN_INTERVAL_MS })
     expect(estimate <= GRACE_MS).toBe(isTaken)
   })
 })
--- a/src/services/forwarding/index.ts
+++ b/src/services/forwarding/index.ts
@@ -11,7 +11,7 @@
 import { createTimeToFirstBytes } from './_lib/createTimeToFirstBytes.js'
 import { createTokenPace } from './_lib/createTokenPace.js'
 import { findAccount } from './_lib/findAccount.js'
-import type { RepeatBudgetLimits } from '../../decisions/grantRepeat/index.js'
+import type { RetryWindowLimits } from '../../decisions/grantRetry/index.js'
 import { indexRoutes } from '../../decisions/indexRoutes/index.js'
 import { orderHeld } from '../../decisions/orderHeld/index.js'
 import type { HeldRequest } from '../../decisions/orderHeld/index.js'
@@ -45,7 +45,7 @@
 export type ForwardingBounds = {
   /** Highest load of a backend server, as a multiple of the mean load of its service. */
   readonly loadFactor: number
-  readonly repeatLimits: RepeatBudgetLimits
+  readonly repeatLimits: RetryWindowLimits
   /** A key whose validity was last confirmed longer ago than this is not accepted; in milliseconds. */
   readonly keyFreshnessMs: number
   /** A configuration confirmed longer ago than this is no proof that a route or key does not exist; in milliseconds. */
--- a/src/services/instanceHealth/index.ts
+++ b/src/services/instanceHealth/index.ts
@@ -2,9 +2,9 @@
  * Tracks the health of each backend server as seen in this node's own exchanges: its
  * condition, and how long it has sent nothing while requests wait there.
  */
-import { advanceCondition, initialCondition } from '../../decisions/advanceCondition/index.js'
+import { advanceInstanceHealth, initialInstanceHealth } from '../../decisions/advanceInstanceHealth/index.js'
 import { formatInstanceKey } from '../../decisions/formatInstanceKey/index.js'
-import type { ConditionEvent, InstanceCondition } from '../../decisions/advanceCondition/index.js'
+import type { InstanceHealthEvent, InstanceHealthState } from '../../decisions/advanceInstanceHealth/index.js'
 import type { RunningService } from '../../kernel/index.js'
 import type { BackendInstance, Clock, InstanceClient, Logger, Timer } from '../../types/index.js'
 
@@ -15,7 +15,7 @@
   readonly ended: (instance: BackendInstance) => void
   /** Bytes arrived from the server, on any exchange. */
   readonly heard: (instance: BackendInstance) => void
-  readonly record: (instance: BackendInstance, event: ConditionEvent) => void
+  readonly record: (instance: BackendInstance, event: InstanceHealthEvent) => void
   /** Whether the server or its availability zone is suspended: it gets no requests while others are left. */
   readonly isHeld: (instance: BackendInstance) => boolean
   /** Milliseconds since bytes last arrived from the server, while a request waits there; 0 when none does. */
@@ -62,7 +62,7 @@
  */
 export const createInstanceHealth = (dependencies: { readonly clock: Clock, readonly logger: Logger, readonly client: Pick<InstanceClient, 'probe'> }): RunningService<InstanceHealth> => {
   const { clock, logger, client } = dependencies
-  const conditions = new Map<string, InstanceCondition>()
+  const conditions = new Map<string, InstanceHealthState>()
   const contacts = new Map<string, Contact>()
   const zones = new Map<string, ZoneContact>()
   const unproved = new Map<string, BackendInstance>()
@@ -70,7 +70,7 @@
   let timer: Timer | undefined
   let isStopped = false
 
-  const conditionOf = (instance: BackendInstance): InstanceCondition => conditions.get(formatInstanceKey(instance)) ?? initialCondition
+  const conditionOf = (instance: BackendInstance): InstanceHealthState => conditions.get(formatInstanceKey(instance)) ?? initialInstanceHealth
 
   const contactOf = (instance: BackendInstance): Contact => {
     const key = formatInstanceKey(instance)
@@ -105,25 +105,25 @@
 
   const isHeldItself = (instance: BackendInstance): boolean => {
     const condition = conditionOf(instance)
-    return condition.heldUntil > clock.now() || condition.needsProof
+    return condition.suspendedUntil > clock.now() || condition.needsProbe
   }
 
-  const findUsual = (peers: readonly BackendInstance[]): Pick<InstanceCondition, 'errorShare' | 'slowness'> => {
+  const findUsual = (peers: readonly BackendInstance[]): Pick<InstanceHealthState, 'errorShare' | 'slowness'> => {
     const all = peers.map(conditionOf)
     return { errorShare: median(all.map(({ errorShare }) => errorShare)), slowness: Math.max(1, median(all.map(({ slowness }) => slowness))) }
   }
 
-  const record = (instance: BackendInstance, event: ConditionEvent): void => {
+  const record = (instance: BackendInstance, event: InstanceHealthEvent): void => {
     const wasHeld = isHeldItself(instance)
     const before = conditionOf(instance)
-    const after = advanceCondition(before, event, clock.now())
+    const after = advanceInstanceHealth(before, event, clock.now())
     conditions.set(formatInstanceKey(instance), after)
     if (event.kind === 'unreachable') noteZoneUnreachable(instance)
     if (event.kind === 'reached' || event.kind === 'answered') noteZoneHeard(instance)
-    if (after.needsProof) watch(instance)
+    if (after.needsProbe) watch(instance)
     else unproved.delete(formatInstanceKey(instance))
     const isHeld = isHeldItself(instance)
-    if (isHeld && !wasHeld) logger.warn('backend server held', { backendServer: instance.id, service: instance.service, event: event.kind, failures: after.failuresInRow, holdMs: Math.round(after.heldUntil - clock.now()) })
+    if (isHeld && !wasHeld) logger.warn('backend server held', { backendServer: instance.id, service: instance.service, event: event.kind, failures: after.consecutiveFailures, holdMs: Math.round(after.suspendedUntil - clock.now()) })
     if (wasHeld && !isHeld) logger.info('backend server back', { backendServer: instance.id, service: instance.service, event: event.kind })
   }
 
@@ -139,7 +139,7 @@
     timer = undefined
     const now = clock.now()
     for (const [key, instance] of unproved) {
-      if (!probing.has(key) && conditionOf(instance).heldUntil <= now) probe(key, instance)
+      if (!probing.has(key) && conditionOf(instance).suspendedUntil <= now) probe(key, instance)
     }
     if (unproved.size > 0 && !isStopped) timer = clock.setTimer(PROBE_TICK_MS, probeDue)
   }
@@ -167,7 +167,7 @@
       return contact.open > 0 ? clock.now() - contact.quietSince : 0
     },
     compareWith: (peers) => {
-      let usual: Pick<InstanceCondition, 'errorShare' | 'slowness'> | undefined
+      let usual: Pick<InstanceHealthState, 'errorShare' | 'slowness'> | undefined
       return (instance) => {
         const condition = conditionOf(instance)
         if (condition.slowness < TOLERATED_SLOWNESS && condition.errorShare < TOLERATED_ERROR_SHARE) return 1
