--- a/src/decisions/admitDuringShutdown/index.ts
+++ b/src/decisions/admitDuringShutdown/index.ts
@@ -11,7 +11,7 @@
   readonly untilDeadlineMs: number
   /** Milliseconds from the start of the shutdown to the arrival of the request. */
   readonly arrivedAfterMs: number
-  /** Share of the route's recent streams that took longer than `leftMs`; `undefined` while too few are known. */
+  /** Share of the route's recent streams that took longer than `untilExitMs`; `undefined` while too few are known. */
   readonly lateShare: number | undefined
   /** Estimated maximum duration in milliseconds, from its tokens and the speed of the slowest observed stream. Used while no share is known. */
   readonly estimatedDurationMs: number
@@ -32,11 +32,11 @@
  * Until load balancers have removed the node, it accepts a request that will very likely end in time. Later it
  * accepts only a request whose deadline is early enough, since a stream may be longer than any observed before.
  *
- * @param question - The time left, and the deadline and estimated duration of the request.
+ * @param input - The time left, and the deadline and estimated duration of the request.
  * @returns Whether the node accepts the request.
  *
  * @example
- * judgeStop({ leftMs: 4_000, limitMs: 3_000, arrivedAfterMs: 3_500, lateShare: undefined, estimatedMs: 9_000 }) // => true
+ * admitDuringShutdown({ untilExitMs: 4_000, untilDeadlineMs: 3_000, arrivedAfterMs: 3_500, lateShare: undefined, estimatedDurationMs: 9_000 }) // => true
  */
 export const admitDuringShutdown = ({ untilExitMs, untilDeadlineMs, arrivedAfterMs, lateShare, estimatedDurationMs }: ShutdownAdmissionInput): boolean => {
   if (untilDeadlineMs <= untilExitMs) return true
--- a/src/decisions/admitDuringShutdown/test.ts
+++ b/src/decisions/admitDuringShutdown/test.ts
@@ -5,7 +5,7 @@
 const createInput = (changes: Partial<ShutdownAdmissionInput> = {}): ShutdownAdmissionInput =>
   ({ untilExitMs: 5_000, untilDeadlineMs: 12_000, arrivedAfterMs: 2_000, lateShare: 0, estimatedDurationMs: 9_000, ...changes })
 
-describe('judgeStop', () => {
+describe('admitDuringShutdown', () => {
   // Streams that used 90 tokens must not be rejected because of a limit of 954 tokens:
   // their callers would reach another node that is shutting down.
   test('accepts a stream on a route whose streams nearly always end in time, despite a high token limit', () =>
--- a/src/decisions/advanceInstanceHealth/index.ts
+++ b/src/decisions/advanceInstanceHealth/index.ts
@@ -68,15 +68,15 @@
 }
 
 /**
- * Updates the condition of a server with one event.
+ * Updates the health state of a server with one event.
  *
- * @param health - The condition before the event.
+ * @param health - The health state before the event.
  * @param event - The outcome of one request or probe.
  * @param now - Monotonic milliseconds.
- * @returns The condition after the event.
+ * @returns The health state after the event.
  *
  * @example
- * advanceCondition(initialCondition, { kind: 'unreachable' }, 0).heldUntil // => 400
+ * advanceInstanceHealth(initialInstanceHealth, { kind: 'unreachable' }, 0).suspendedUntil // => 400
  */
 export const advanceInstanceHealth = <Kind extends InstanceHealthEvent['kind']>(health: InstanceHealthState, event: Extract<InstanceHealthEvent, { kind: Kind }>, now: number): InstanceHealthState => {
   const handler = handlers[event.kind] as (health: InstanceHealthState, event: InstanceHealthEvent, now: number) => InstanceHealthState
--- a/src/decisions/advanceInstanceHealth/test.ts
+++ b/src/decisions/advanceInstanceHealth/test.ts
@@ -5,7 +5,7 @@
 const apply = (events: readonly (readonly [InstanceHealthEvent, number])[]): InstanceHealthState =>
   events.reduce((health, [event, now]) => advanceInstanceHealth(health, event, now), initialInstanceHealth)
 
-describe('advanceCondition', () => {
+describe('advanceInstanceHealth', () => {
   test('suspends an unreachable server', () => expect(apply([[{ kind: 'unreachable' }, 0]])).toMatchObject({ suspendedUntil: 400, needsProbe: true }))
   test('counts concurrent timeouts of several requests as one failure', () => expect(apply([[{ kind: 'unreachable' }, 0], [{ kind: 'unreachable' }, 10]]).consecutiveFailures).toBe(1))
   test('doubles the suspension with each failure up to the maximum', () => {
--- a/src/decisions/checkInstanceEligibility/index.ts
+++ b/src/decisions/checkInstanceEligibility/index.ts
@@ -20,12 +20,12 @@
 /**
  * Checks one backend server for one request.
  *
- * @param standing - The status of the server.
+ * @param status - The status of the server.
  * @param allowedRegions - Lists of allowed regions; the server's region must be in each of them. An empty list allows all regions.
  * @returns `open`, or the reason why the server may not get the request.
  *
  * @example
- * judgeInstance({ region: 'north', isZoneDrained: true, isAtWarmUpRate: false }, []) // => 'zoneDrained'
+ * checkInstanceEligibility({ region: 'north', isZoneDrained: true, isAtWarmUpRate: false }, []) // => 'zoneDrained'
  */
 export const checkInstanceEligibility = ({ region, isZoneDrained, isAtWarmUpRate }: InstanceStatus, allowedRegions: readonly (readonly string[])[]): InstanceEligibility => {
   if (!allowedRegions.every((allowed) => isRegionAllowed(region, allowed))) return 'regionNotAllowed'
--- a/src/decisions/checkInstanceEligibility/test.ts
+++ b/src/decisions/checkInstanceEligibility/test.ts
@@ -4,7 +4,7 @@
 
 const createStatus = (changes: Partial<InstanceStatus> = {}): InstanceStatus => ({ region: 'north', isZoneDrained: false, isAtWarmUpRate: false, ...changes })
 
-describe('judgeInstance', () => {
+describe('checkInstanceEligibility', () => {
   test('accepts a server without restrictions', () => expect(checkInstanceEligibility(createStatus(), [])).toBe('open'))
   test('rejects a server in a drained zone', () => expect(checkInstanceEligibility(createStatus({ isZoneDrained: true }), [])).toBe('zoneDrained'))
   test('rejects a server that has reached its warm-up rate', () => expect(checkInstanceEligibility(createStatus({ isAtWarmUpRate: true }), [])).toBe('warmingUp'))
--- a/src/decisions/computeRetryAfter/index.ts
+++ b/src/decisions/computeRetryAfter/index.ts
@@ -25,7 +25,7 @@
  * @returns The delay in milliseconds.
  *
  * @example
- * computeReturnDelay(0) // => 250
+ * computeRetryAfter(0) // => 250
  */
 export const computeRetryAfter = (randomShare: number, reason: FinalReason = 'noInstance'): number =>
   (LASTING_REASONS.has(reason) ? MINIMUM_LASTING_DELAY_MS : MINIMUM_DELAY_MS) + MAXIMUM_JITTER_MS * randomShare
--- a/src/decisions/createRefusal/index.ts
+++ b/src/decisions/createRefusal/index.ts
@@ -31,7 +31,7 @@
  * @returns The refusal, with its HTTP status.
  *
  * @example
- * describeRefusal('not-run', 'overShare', 'over the account\'s share', 2_000).status // => 429
+ * createRefusal('not-run', 'overShare', 'over the account\'s share', 2_000).status // => 429
  */
 export const createRefusal = (outcome: RefusalOutcome, reason: RefusalReason, message: string, retryAfterMs?: number): Refusal => ({
   outcome,
--- a/src/decisions/editPlannedStop/index.ts
+++ b/src/decisions/editPlannedStop/index.ts
@@ -18,7 +18,7 @@
  *
  * A drain is one planned stop, named after its backend server, so that a
  * second drain of the same server replaces the first. Planned stops with other
- * names come from the operator's sheet file and are not changed.
+ * names come from the sheet that planners maintain and are not changed.
  *
  * @param sheet - The sheet in force.
  * @param edit - The drain to start or cancel; times in milliseconds since 1970.
@@ -33,7 +33,7 @@
   return handlers[edit.kind](sheet, edit as never)
 }
 
-/** Tells from its name whether a planned stop was created by a drain rather than by the operator's sheet file. */
+/** Tells from its name whether a planned stop was created by a drain rather than by the planners' sheet. */
 export const isDrainName = (name: string): boolean => name.startsWith(NAME_PREFIX)
 
 const formatDrainName = (backendServer: string): string => `${NAME_PREFIX}${backendServer}`
--- a/src/decisions/estimateDuration/index.ts
+++ b/src/decisions/estimateDuration/index.ts
@@ -18,11 +18,11 @@
 /**
  * Estimates how long a request takes, erring on the long side.
  *
- * @param question - The route, and the size and speed of a stream.
+ * @param input - The route, and the size and speed of a stream.
  * @returns The time to the end of the answer in milliseconds.
  *
  * @example
- * estimateDuration({ route: { retryPolicy: 'safe', timeoutMs: 800, latencyTargetMs: 300 }, outputTokens: 0, tokenMs: 10 }) // => 800
+ * estimateDuration({ route: { retryPolicy: 'safe', timeoutMs: 800, latencyTargetMs: 300 }, outputTokens: 0, tokenIntervalMs: 10 }) // => 800
  */
 export const estimateDuration = ({ route, outputTokens, tokenIntervalMs }: DurationInput): number => {
   if (route.retryPolicy !== 'stream') return route.timeoutMs
--- a/src/decisions/evaluateRollout/index.ts
+++ b/src/decisions/evaluateRollout/index.ts
@@ -50,7 +50,7 @@
  * @returns One entry per node, and whether all of them are confirmed.
  *
  * @example
- * judgeRollout(3, [], undefined) // => { generation: 3, isInForceEverywhere: false, nodes: [] }
+ * evaluateRollout(3, [], undefined) // => { generation: 3, isInForceEverywhere: false, nodes: [] }
  */
 export const evaluateRollout = (generation: number, answers: readonly RouterAnswer[], vms: readonly Vm[] | undefined): Rollout => {
   const reports = answers.flatMap((answer) => answer.kind === 'answered' ? [answer.report] : [])
--- a/src/decisions/evaluateRollout/test.ts
+++ b/src/decisions/evaluateRollout/test.ts
@@ -12,7 +12,7 @@
 
 const createVm = (index: number): Vm => ({ name: `vm-${index}`, kind: 'router', address: `10.0.0.${index}:7000`, availabilityZone: 'venkov-a', state: 'live' })
 
-describe('judgeRollout', () => {
+describe('evaluateRollout', () => {
   it('confirms nothing when no router answered', () => {
     const rollout = evaluateRollout(3, [{ kind: 'unreachable', url: 'http://10.0.0.1:9000', message: 'no answer in time' }], [])
     expect(rollout).toMatchObject({ isInForceEverywhere: false, nodes: [{ node: 'http://10.0.0.1:9000', state: 'unconfirmed' }] })
--- a/src/decisions/explainRequest/index.ts
+++ b/src/decisions/explainRequest/index.ts
@@ -34,7 +34,7 @@
  * @returns Its steps, and the state changes of the nodes that handled it; both empty for an unknown id.
  *
  * @example
- * explainRequest([], 'r1') // => { steps: [], beliefs: [] }
+ * explainRequest([], 'r1') // => { steps: [], stateChanges: [] }
  */
 export const explainRequest = (records: readonly LogRecord[], requestId: string): RequestTimeline => {
   const byTime = [...records].sort((left, right) => left.time - right.time)
--- a/src/decisions/grantRetry/index.ts
+++ b/src/decisions/grantRetry/index.ts
@@ -35,7 +35,7 @@
  * @returns Whether the retry may be sent.
  *
  * @example
- * grantRepeat({ requests: [], repeats: [] }, { ratio: 0.2, extra: 50, windowMs: 10_000 }, 5, 0) // => true
+ * grantRetry({ requests: [], retries: [] }, { ratio: 0.2, extra: 50, windowMs: 10_000 }, 5, 0) // => true
  */
 export const grantRetry = (budget: RetryWindow, limits: RetryWindowLimits, nodes: number, now: number): boolean => {
   const from = now - limits.windowMs
--- a/src/decisions/grantRetry/test.ts
+++ b/src/decisions/grantRetry/test.ts
@@ -7,7 +7,7 @@
 const limits = { ratio: 0.2, extra: 50, windowMs: 10_000 }
 const empty: RetryWindow = { requests: [], retries: [] }
 
-describe('grantRepeat', () => {
+describe('grantRetry', () => {
   test('grants a retry when nothing has been sent', () => expect(grantRetry(empty, limits, 5, 0)).toBe(true))
 
   test('divides the constant equally among the nodes', () => {
--- a/src/decisions/isFailoverDue/index.ts
+++ b/src/decisions/isFailoverDue/index.ts
@@ -33,7 +33,7 @@
  * @returns Whether the request should move.
  *
  * @example
- * isMoveDue({ hasBegun: false, waitedMs: 100, instanceSilentMs: 100, goalMs: 300, pauseGoalMs: 0, usualMs: 60 }) // => false
+ * isFailoverDue({ hasBegun: false, waitedMs: 100, instanceWaitedMs: 100, firstByteTargetMs: 300, pauseTargetMs: 0, usualFirstByteMs: 60 }) // => false
  */
 export const isFailoverDue = (input: FailoverInput): boolean => {
   const { hasBegun, waitedMs, instanceWaitedMs, firstByteTargetMs, pauseTargetMs, usualFirstByteMs } = input
--- a/src/decisions/isFailoverDue/test.ts
+++ b/src/decisions/isFailoverDue/test.ts
@@ -5,7 +5,7 @@
 const createInput = (changes: Partial<FailoverInput> = {}): FailoverInput =>
   ({ hasBegun: false, waitedMs: 0, instanceWaitedMs: 0, firstByteTargetMs: 800, pauseTargetMs: 300, usualFirstByteMs: 60, ...changes })
 
-describe('isMoveDue', () => {
+describe('isFailoverDue', () => {
   test('waits for a lost packet to be retransmitted', () => expect(isFailoverDue(createInput({ waitedMs: 350, instanceWaitedMs: 350 }))).toBe(false))
   test('moves soon from a server that responds to no request', () => expect(isFailoverDue(createInput({ waitedMs: 420, instanceWaitedMs: 420 }))).toBe(true))
   test('waits longer when the server responds to other requests', () => expect(isFailoverDue(createInput({ waitedMs: 420, instanceWaitedMs: 5 }))).toBe(false))
--- a/src/decisions/selectForwardTargets/index.ts
+++ b/src/decisions/selectForwardTargets/index.ts
@@ -15,7 +15,7 @@
  * @returns The routers to send to; none when this one is a leaf or is not ranked.
  *
  * @example
- * findForwardTargets(['a', 'b', 'c', 'd'], 'a', 2) // => ['b', 'c']
+ * selectForwardTargets(['a', 'b', 'c', 'd'], 'a', 2) // => ['b', 'c']
  */
 export const selectForwardTargets = <Node>(ranked: readonly Node[], self: Node, fanOut: number): readonly Node[] => {
   const index = ranked.indexOf(self)
--- a/src/decisions/selectForwardTargets/test.ts
+++ b/src/decisions/selectForwardTargets/test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
 import { selectForwardTargets } from './index.js'
 
-describe('findForwardTargets', () => {
+describe('selectForwardTargets', () => {
   it.each([1, 2, 3, 7, 45])('reaches each of %i routers exactly once', (size) => {
     const ranked = Array.from({ length: size }, (_, index) => index)
     const reached = ranked.flatMap((self) => selectForwardTargets(ranked, self, 2))
--- a/src/decisions/selectOverShareAccount/index.ts
+++ b/src/decisions/selectOverShareAccount/index.ts
@@ -16,7 +16,7 @@
  * @returns The account whose request is rejected; `undefined` when there are no accounts.
  *
  * @example
- * findOverShare([
+ * selectOverShareAccount([
  *   { clientAccount: 'busy', weight: 1, usage: 0, waitingSince: 1, queuedTokens: 900 },
  *   { clientAccount: 'calm', weight: 1, usage: 10, waitingSince: 2, queuedTokens: 10 }
  * ]) // => 'busy'
