--- a/src/bench/controlTraffic/createFleet.ts
+++ b/src/bench/controlTraffic/createFleet.ts
@@ -82,7 +82,7 @@
     const settings = { ...SETTINGS, nodeId: name, availabilityZone: zoneName(index, size.zones), seedPeers }
     const membership = createMembership({ clock, random: nodeRandom, transport, exchange, vmList }, { settings, address: transport.address, generation: () => 1 })
     // The load view and the exchange of a large fleet read each other, so one is looked up late.
-    const readCounts = (): ReadonlyMap<string, number> => loadView.publishedCounts()
+    const readCounts = (): ReadonlyMap<string, number> => loadView.readPublishedCounts()
     const fleetLoad = createFleetLoad({ clock, transport, membership: membership.api, readServers: () => holder.current()?.sheet.backendServers ?? [], readCounts }, { fullMeshPeers: DEFAULT_FAN_OUT.fullMeshPeers })
     const loadView: RunningLoadView = createLoadView({ clock, transport, membership: membership.api, exchange, fleetLoad: fleetLoad.api }, { settings })
     let probes = 0
--- a/src/bench/fairness/_lib/runTrial.ts
+++ b/src/bench/fairness/_lib/runTrial.ts
@@ -60,7 +60,7 @@
     }
     const admission = policy === 'firstCome'
       ? createFirstComeAdmission(clock, slotsForNode, defaultAdmissionOptions.maximumQueued, defaultAdmissionOptions.pollIntervalMs)
-      : createAdmission({ clock, configuration: { current: () => configuration }, slotsForNode }).api
+      : createAdmission({ clock, configuration: { current: () => configuration }, countSlots: slotsForNode }).api
     routers.push({ admission, inFlight: 0, publishedInFlight: 0 })
   }
   return routers
--- a/src/bench/placement/_lib/createBenchRouter.ts
+++ b/src/bench/placement/_lib/createBenchRouter.ts
@@ -60,7 +60,7 @@
     transport,
     membership: membership.api,
     readServers: () => options.readConfiguration()?.sheet.backendServers ?? [],
-    readCounts: () => loadView.publishedCounts()
+    readCounts: () => loadView.readPublishedCounts()
   }, { fullMeshPeers: DEFAULT_FAN_OUT.fullMeshPeers })
   const loadView: RunningLoadView = createLoadView({ clock, transport, membership: membership.api, exchange, fleetLoad: fleetLoad.api }, { settings })
   const chatDirectory = createChatDirectory({ clock, transport, membership: membership.api }, { settings })
--- a/src/node/createGatewayNode/_lib/recordStartSteps.ts
+++ b/src/node/createGatewayNode/_lib/recordStartSteps.ts
@@ -9,5 +9,5 @@
   resolve('gatewayConfiguration').onChange(() => timeline.mark('configuration'))
   registry.onChange(() => { if (registry.isKnown()) timeline.mark('backendServers') })
   membership.onChange(() => { if (membership.liveMembers().length > 1) timeline.mark('firstPeer') })
-  resolve('promptDirectory').onLearnt(() => timeline.mark('promptPlaces'))
+  resolve('promptDirectory').onRecovered(() => timeline.mark('promptPlaces'))
 }
--- a/src/node/createGatewayNode/_lib/registerForwarding.ts
+++ b/src/node/createGatewayNode/_lib/registerForwarding.ts
@@ -2,7 +2,7 @@
 import { formatInstanceKey } from '../../../decisions/formatInstanceKey/index.js'
 import { createForwarding, type ForwardingBounds } from '../../../services/forwarding/index.js'
 import { createInstanceHealth } from '../../../services/instanceHealth/index.js'
-import { createPromptDirectory, type PlacesRecoverySources } from '../../../services/promptDirectory/index.js'
+import { createPromptDirectory, type DirectoryRecoverySources } from '../../../services/promptDirectory/index.js'
 import { createWarmUp } from '../../../services/warmUp/index.js'
 import type { GatewaySettings } from '../../../types/index.js'
 import type { Kernel } from '../../../kernel/index.js'
@@ -22,7 +22,7 @@
 })
 
 /** Sources for recovering the cached prefix locations after a start: the configuration says which services run model engines, the registry lists the engines. */
-const createPlacesRecoverySources = ({ settings, random, logger, promptCacheSource }: GatewayNodeDependencies, resolve: Kernel<GatewayServices>['resolve']): PlacesRecoverySources => {
+const createPlacesRecoverySources = ({ settings, random, logger, promptCacheSource }: GatewayNodeDependencies, resolve: Kernel<GatewayServices>['resolve']): DirectoryRecoverySources => {
   const configuration = resolve('gatewayConfiguration')
   const registry = resolve('instanceRegistry')
   const zoneDrains = resolve('zoneDrains')
@@ -34,7 +34,7 @@
     availabilityZone: settings.availabilityZone,
     isEngine: ({ service }) => configuration.current()?.services.get(service)?.isModelService === true,
     areEnginesKnown: () => configuration.current() !== undefined && registry.isKnown(),
-    onKnown: (listener) => {
+    onEnginesChange: (listener) => {
       configuration.onChange(listener)
       registry.onChange(listener)
     }
--- a/src/node/createGatewayNode/_lib/registerLoad.ts
+++ b/src/node/createGatewayNode/_lib/registerLoad.ts
@@ -30,7 +30,7 @@
       let servers = nameInstances(registry.all())
       registry.onChange(() => { servers = nameInstances(registry.all()) })
       return createFleetLoad(
-        { clock, transport, membership: resolve('membership'), readServers: () => servers, readCounts: () => loadView?.publishedCounts() ?? new Map() },
+        { clock, transport, membership: resolve('membership'), readServers: () => servers, readCounts: () => loadView?.readPublishedCounts() ?? new Map() },
         { fullMeshPeers: DEFAULT_FAN_OUT.fullMeshPeers, periodMs: LOAD_SNAPSHOT_INTERVAL_MS }
       )
     }
--- a/src/node/createRouterNode/_lib/countSlotsForNode.ts
+++ b/src/node/createRouterNode/_lib/countSlotsForNode.ts
@@ -1,4 +1,4 @@
-import { listPlacedServers, type PlacementDependencies } from '../../../services/placement/index.js'
+import { listAvailableServers, type PlacementDependencies } from '../../../services/placement/index.js'
 import type { LoadView } from '../../../types/index.js'
 
 /**
@@ -8,7 +8,7 @@
  * is refused at once instead of waiting until its deadline.
  */
 export const countSlotsForNode = (service: string, dependencies: PlacementDependencies & { readonly loadView: Pick<LoadView, 'ownInFlight'> }): number => {
-  const servers = listPlacedServers(service, dependencies)
+  const servers = listAvailableServers(service, dependencies)
   if (servers.length === 0) return Infinity
   return servers.reduce((sum, { name, weight, inFlight }) => {
     const others = Math.max(0, inFlight - dependencies.loadView.ownInFlight(name))
--- a/src/node/createRouterNode/_lib/registerLoad.ts
+++ b/src/node/createRouterNode/_lib/registerLoad.ts
@@ -20,7 +20,7 @@
       transport,
       membership: resolve('membership'),
       readServers: () => resolve('configuration').current()?.sheet.backendServers ?? [],
-      readCounts: () => loadView?.publishedCounts() ?? new Map()
+      readCounts: () => loadView?.readPublishedCounts() ?? new Map()
     }, { fullMeshPeers: DEFAULT_FAN_OUT.fullMeshPeers })
   })
   kernel.register({
--- a/src/node/createRouterNode/_lib/registerRequests.ts
+++ b/src/node/createRouterNode/_lib/registerRequests.ts
@@ -20,7 +20,7 @@
         clock,
         metrics,
         configuration: sources.configuration,
-        slotsForNode: (service) => countSlotsForNode(service, sources)
+        countSlots: (service) => countSlotsForNode(service, sources)
       }, { ...defaultAdmissionOptions, maximumQueued: settings.maximumQueueLength })
       const exchange = resolve('heartbeatExchange')
       exchange.addContributor(createUsageContributor(clock, admission.api))
--- a/src/services/admission/_lib/createServiceQueue.ts
+++ b/src/services/admission/_lib/createServiceQueue.ts
@@ -9,7 +9,7 @@
 import { shareFairly } from '../../../decisions/shareFairly/index.js'
 import type { AdmissionDemand, AdmissionRefusal, AdmissionTicket, Clock, RefusalReason, Result, Timer } from '../../../types/index.js'
 import type { AdmissionOptions } from '../index.js'
-import { createDrainRate } from './createDrainRate.js'
+import { createThroughputEstimate } from './createThroughputEstimate.js'
 import type { UsageRecord } from './createUsageRecord.js'
 import { createWaitingList } from './createWaitingList.js'
 import type { WaitingAccount, WaitingList, WaitingRequest } from './createWaitingList.js'
@@ -27,7 +27,7 @@
   readonly usage: UsageRecord
   /** Usage by priority class; separate from `usage`, which is published to peers. */
   readonly classUsage: UsageRecord
-  readonly slotsForNode: () => number
+  readonly countSlots: () => number
   readonly findWeight: (clientAccount: string) => number
   readonly recordWait: (waitMs: number) => void
 }
@@ -46,10 +46,10 @@
  * @returns The queue.
  */
 export const createServiceQueue = (service: string, dependencies: ServiceQueueDependencies, options: AdmissionOptions): ServiceQueue => {
-  const { clock, usage, classUsage, slotsForNode, findWeight, recordWait } = dependencies
+  const { clock, usage, classUsage, countSlots, findWeight, recordWait } = dependencies
   const interactive = createWaitingList()
   const overnight = createWaitingList()
-  const drainRate = createDrainRate(clock, options.usageHalfLifeMs)
+  const throughput = createThroughputEstimate(clock, options.usageHalfLifeMs)
   let running = 0
   let pollTimer: Timer | undefined
 
@@ -77,8 +77,8 @@
         isFinished = true
         running -= 1
         charge(demand, tokensUsed - demand.tokens)
-        drainRate.record(tokensUsed)
-        pump()
+        throughput.record(tokensUsed)
+        admitWaiting()
       }
     }
   }
@@ -97,8 +97,8 @@
     return next === undefined ? undefined : list.takeOldest(next)
   }
 
-  const pump = (): void => {
-    while (countWaiting() > 0 && running < slotsForNode()) {
+  const admitWaiting = (): void => {
+    while (countWaiting() > 0 && running < countSlots()) {
       const request = takeNext()
       if (request === undefined) break
       recordWait(clock.now() - request.since)
@@ -113,7 +113,7 @@
     if (countWaiting() === 0 || pollTimer !== undefined) return
     pollTimer = clock.setTimer(options.pollIntervalMs, () => {
       pollTimer = undefined
-      pump()
+      admitWaiting()
     })
   }
 
@@ -127,7 +127,7 @@
       ownTokens * allWeights / weight,
       waiting.reduce((sum, account) => sum + account.queuedTokens, 0)
     )
-    return drainRate.estimateMs(tokensAhead)
+    return throughput.estimateMs(tokensAhead)
   }
 
   const refuse = (demand: AdmissionDemand, reason: RefusalReason): Result<AdmissionTicket, AdmissionRefusal> => {
@@ -135,20 +135,20 @@
     return failure({ reason, retryAfterMs: Math.min(MAXIMUM_RETRY_AFTER_MS, Math.max(MINIMUM_RETRY_AFTER_MS, Math.ceil(waitMs))) })
   }
 
-  const listOf = (demand: AdmissionDemand): WaitingList => demand.overnight ? overnight : interactive
+  const selectListFor = (demand: AdmissionDemand): WaitingList => demand.overnight ? overnight : interactive
 
   const isAccountFull = (demand: AdmissionDemand): boolean =>
-    (listOf(demand).find(demand.clientAccount)?.length ?? 0) >= options.maximumQueuedPerAccount
+    (selectListFor(demand).find(demand.clientAccount)?.length ?? 0) >= options.maximumQueuedPerAccount
 
   /** Evicts a request of the account furthest over its share; returns false when that is the account of the new request. */
   const makeRoom = (demand: AdmissionDemand): boolean => {
     const overnightWorst = selectOverShareAccount(overnight.accounts().map(describe))
     if (!demand.overnight && overnightWorst !== undefined) return evict(overnight, overnightWorst)
     if (demand.overnight && overnightWorst === undefined) return false
-    const list = listOf(demand)
+    const list = selectListFor(demand)
     const known = list.find(demand.clientAccount)
-    const newcomer = { clientAccount: demand.clientAccount, waitingSince: clock.now(), queuedTokens: (known?.queuedTokens ?? 0) + demand.tokens, length: 0 }
-    const contenders = [...list.accounts().filter((account) => account.clientAccount !== demand.clientAccount), newcomer]
+    const newContender = { clientAccount: demand.clientAccount, waitingSince: clock.now(), queuedTokens: (known?.queuedTokens ?? 0) + demand.tokens, length: 0 }
+    const contenders = [...list.accounts().filter((account) => account.clientAccount !== demand.clientAccount), newContender]
     const worst = selectOverShareAccount(contenders.map(describe))
     return worst !== undefined && worst !== demand.clientAccount && evict(list, worst)
   }
@@ -160,12 +160,12 @@
   }
 
   const enqueue = (demand: AdmissionDemand): Promise<Result<AdmissionTicket, AdmissionRefusal>> => new Promise((resolve) => {
-    const list = listOf(demand)
-    const leave = (reason: RefusalReason): void => {
+    const list = selectListFor(demand)
+    const refuseWaiting = (reason: RefusalReason): void => {
       if (list.remove(request)) request.settle(refuse(demand, reason))
     }
-    const timer = clock.setTimer(Math.max(0, demand.deadlineAt - clock.now()), () => { leave('deadline') })
-    const cancel = (): void => { leave('cancelled') }
+    const timer = clock.setTimer(Math.max(0, demand.deadlineAt - clock.now()), () => { refuseWaiting('deadline') })
+    const cancel = (): void => { refuseWaiting('cancelled') }
     const request: WaitingRequest = {
       demand,
       since: clock.now(),
@@ -177,13 +177,13 @@
     }
     demand.signal.addEventListener('abort', cancel)
     list.add(request)
-    pump()
+    admitWaiting()
   })
 
   const admit = async (demand: AdmissionDemand): Promise<Result<AdmissionTicket, AdmissionRefusal>> => {
     if (demand.signal.aborted) return refuse(demand, 'cancelled')
     if (clock.now() >= demand.deadlineAt) return refuse(demand, 'deadline')
-    if (countWaiting() === 0 && running < slotsForNode()) {
+    if (countWaiting() === 0 && running < countSlots()) {
       recordWait(0)
       return success(createTicket(demand))
     }
--- a/src/services/admission/_lib/createDrainRate.ts
+++ b/src/services/admission/_lib/createThroughputEstimate.ts
@@ -2,7 +2,7 @@
 import { decayUsage } from '../../../decisions/decayUsage/index.js'
 import type { Clock } from '../../../types/index.js'
 
-export type DrainRate = {
+export type ThroughputEstimate = {
   /** Records completed work in tokens. */
   readonly record: (tokens: number) => void
   /** Estimated milliseconds to complete this many tokens; 0 while there are no data. */
@@ -16,7 +16,7 @@
  * @param halfLifeMs - Half-life of past work, in milliseconds.
  * @returns The estimator.
  */
-export const createDrainRate = (clock: Clock, halfLifeMs: number): DrainRate => {
+export const createThroughputEstimate = (clock: Clock, halfLifeMs: number): ThroughputEstimate => {
   const startedAt = clock.now()
   let decayed = 0
   let at = startedAt
@@ -24,7 +24,7 @@
   const decayNow = (): number => decayUsage(decayed, clock.now() - at, halfLifeMs)
 
   /** Decayed length of the observed time, so that the rate is unbiased from the start. */
-  const watchedMs = (): number => {
+  const observedMs = (): number => {
     const full = halfLifeMs / Math.LN2
     return full * (1 - 2 ** (-(clock.now() - startedAt) / halfLifeMs))
   }
@@ -35,7 +35,7 @@
       at = clock.now()
     },
     estimateMs: (tokens) => {
-      const rate = watchedMs() > 0 ? decayNow() / watchedMs() : 0
+      const rate = observedMs() > 0 ? decayNow() / observedMs() : 0
       return rate > 0 ? tokens / rate : 0
     }
   }
--- a/src/services/admission/_lib/createUsageRecord.ts
+++ b/src/services/admission/_lib/createUsageRecord.ts
@@ -54,7 +54,7 @@
     return sum
   }
 
-  const forgetNegligible = (): void => {
+  const removeNegligible = (): void => {
     for (const [key, amount] of own) {
       if (decayNow(amount) < NEGLIGIBLE_TOKENS) own.delete(key)
     }
@@ -70,7 +70,7 @@
       return measureOwn(key) + measurePeers(key)
     },
     listLargest: (count) => {
-      forgetNegligible()
+      removeNegligible()
       return [...own.entries()]
         .map(([key, amount]) => ({ key, tokens: decayNow(amount) }))
         .sort((left, right) => right.tokens - left.tokens)
--- a/src/services/admission/_lib/createWaitingList.ts
+++ b/src/services/admission/_lib/createWaitingList.ts
@@ -24,49 +24,49 @@
   readonly length: () => number
 }
 
-type Line = { readonly requests: WaitingRequest[], queuedTokens: number }
+type AccountQueue = { readonly requests: WaitingRequest[], queuedTokens: number }
 
 export const createWaitingList = (): WaitingList => {
-  const lines = new Map<string, Line>()
+  const queues = new Map<string, AccountQueue>()
   let length = 0
 
   const takeAt = (clientAccount: string, index: number): WaitingRequest | undefined => {
-    const line = lines.get(clientAccount)
-    const request = line?.requests.splice(index, 1)[0]
-    if (line === undefined || request === undefined) return undefined
-    line.queuedTokens -= request.demand.tokens
+    const queue = queues.get(clientAccount)
+    const request = queue?.requests.splice(index, 1)[0]
+    if (queue === undefined || request === undefined) return undefined
+    queue.queuedTokens -= request.demand.tokens
     length -= 1
-    if (line.requests.length === 0) lines.delete(clientAccount)
+    if (queue.requests.length === 0) queues.delete(clientAccount)
     return request
   }
 
-  const describe = (clientAccount: string, line: Line): WaitingAccount => ({
+  const describe = (clientAccount: string, queue: AccountQueue): WaitingAccount => ({
     clientAccount,
-    waitingSince: line.requests[0]?.since ?? 0,
-    queuedTokens: line.queuedTokens,
-    length: line.requests.length
+    waitingSince: queue.requests[0]?.since ?? 0,
+    queuedTokens: queue.queuedTokens,
+    length: queue.requests.length
   })
 
   return {
     add: (request) => {
       const { clientAccount, tokens } = request.demand
-      const line = lines.get(clientAccount) ?? { requests: [], queuedTokens: 0 }
-      line.requests.push(request)
-      line.queuedTokens += tokens
-      lines.set(clientAccount, line)
+      const queue = queues.get(clientAccount) ?? { requests: [], queuedTokens: 0 }
+      queue.requests.push(request)
+      queue.queuedTokens += tokens
+      queues.set(clientAccount, queue)
       length += 1
     },
     remove: (request) => {
       const { clientAccount } = request.demand
-      const index = lines.get(clientAccount)?.requests.indexOf(request) ?? -1
+      const index = queues.get(clientAccount)?.requests.indexOf(request) ?? -1
       return index >= 0 && takeAt(clientAccount, index) !== undefined
     },
     takeOldest: (clientAccount) => takeAt(clientAccount, 0),
     takeNewest: (clientAccount) => takeAt(clientAccount, -1),
-    accounts: () => [...lines].map(([clientAccount, line]) => describe(clientAccount, line)),
+    accounts: () => [...queues].map(([clientAccount, queue]) => describe(clientAccount, queue)),
     find: (clientAccount) => {
-      const line = lines.get(clientAccount)
-      return line === undefined ? undefined : describe(clientAccount, line)
+      const queue = queues.get(clientAccount)
+      return queue === undefined ? undefined : describe(clientAccount, queue)
     },
     length: () => length
   }
--- a/src/services/admission/index.ts
+++ b/src/services/admission/index.ts
@@ -47,7 +47,7 @@
    * requests in flight from other nodes. It is compared with the number of
    * open tickets, so a request counts from its admission, before it is placed.
    */
-  readonly slotsForNode: (service: string) => number
+  readonly countSlots: (service: string) => number
 }
 
 /**
@@ -63,18 +63,18 @@
  * if (admitted.ok) admitted.value.finish(120)
  */
 export const createAdmission = (dependencies: AdmissionDependencies, options: AdmissionOptions = defaultAdmissionOptions): RunningService<Admission> => {
-  const { clock, configuration, metrics, slotsForNode } = dependencies
+  const { clock, configuration, metrics, countSlots } = dependencies
   const usageOptions = { halfLifeMs: options.usageHalfLifeMs, peerUsageMaximumAgeMs: options.peerUsageMaximumAgeMs }
   const usage = createUsageRecord(clock, usageOptions)
   const classUsage = createUsageRecord(clock, usageOptions)
   const queues = new Map<string, ServiceQueue>()
-  const findWeight = createWeights(configuration)
+  const findWeight = createWeightLookup(configuration)
 
-  const findQueue = (service: string): ServiceQueue => {
+  const getQueue = (service: string): ServiceQueue => {
     const known = queues.get(service)
     if (known !== undefined) return known
     const recordWait = (waitMs: number): void => { metrics?.observe('queue_wait_seconds', waitMs / 1_000) }
-    const queue = createServiceQueue(service, { clock, usage, classUsage, slotsForNode: () => slotsForNode(service), findWeight, recordWait }, options)
+    const queue = createServiceQueue(service, { clock, usage, classUsage, countSlots: () => countSlots(service), findWeight, recordWait }, options)
     queues.set(service, queue)
     return queue
   }
@@ -83,7 +83,7 @@
 
   return {
     api: {
-      admit: (demand) => findQueue(demand.service).admit(demand),
+      admit: (demand) => getQueue(demand.service).admit(demand),
       usage: () => usage.listLargest(options.publishedAccounts),
       mergeUsage: (nodeId, peerUsage) => { usage.mergePeer(nodeId, peerUsage) }
     }
@@ -91,7 +91,7 @@
 }
 
 /** Creates a look-up of account weights by name. The index is built once for each configuration. */
-const createWeights = (configuration: Pick<ConfigurationHolder, 'current'>): (clientAccount: string) => number => {
+const createWeightLookup = (configuration: Pick<ConfigurationHolder, 'current'>): (clientAccount: string) => number => {
   let indexed: ReturnType<ConfigurationHolder['current']>
   let weights: ReadonlyMap<string, number> = new Map()
   return (clientAccount) => {
--- a/src/services/admission/test.ts
+++ b/src/services/admission/test.ts
@@ -26,10 +26,10 @@
   const clock = createManualClock()
   const pool = { slots }
   const configuration = createConfiguration(weights)
-  const { api } = createAdmission({ clock, configuration: { current: () => configuration }, slotsForNode: () => pool.slots }, { ...defaultAdmissionOptions, ...options })
+  const { api } = createAdmission({ clock, configuration: { current: () => configuration }, countSlots: () => pool.slots }, { ...defaultAdmissionOptions, ...options })
   const admitted: string[] = []
   const tickets: AdmissionTicket[] = []
-  const ask = (clientAccount: string, overrides: Partial<AdmissionDemand> = {}): Promise<Outcome> => {
+  const admit = (clientAccount: string, overrides: Partial<AdmissionDemand> = {}): Promise<Outcome> => {
     const demand = { clientAccount, service: 'desk', tokens: 100, overnight: false, deadlineAt: clock.now() + FAR_AWAY_MS, signal: new AbortController().signal, ...overrides }
     return api.admit(demand).then((outcome) => {
       if (outcome.ok) {
@@ -44,7 +44,7 @@
     tickets.shift()?.finish(tokens)
     await settle()
   }
-  return { clock, api, pool, admitted, tickets, ask, settle, finishOldest }
+  return { clock, api, pool, admitted, tickets, ask: admit, settle, finishOldest }
 }
 
 const repeat = <Value>(count: number, run: () => Value): readonly Value[] => Array.from({ length: count }, run)
@@ -55,13 +55,13 @@
 
 describe('createAdmission', () => {
   it('admits at once while slots are free', async () => {
-    const { ask } = createPool(2)
-    expect(await Promise.all([ask('a'), ask('a')])).toMatchObject([{ ok: true }, { ok: true }])
+    const { ask: admit } = createPool(2)
+    expect(await Promise.all([admit('a'), admit('a')])).toMatchObject([{ ok: true }, { ok: true }])
   })
 
   it('frees the slot of a ticket once, even if it is finished twice', async () => {
-    const { ask, tickets, admitted, settle } = createPool(1)
-    repeat(3, () => ask('a'))
+    const { ask: admit, tickets, admitted, settle } = createPool(1)
+    repeat(3, () => admit('a'))
     await settle()
     const first = tickets[0]!
     first.finish(100)
@@ -71,27 +71,27 @@
   })
 
   it('alternates between waiting accounts although one has far more requests waiting', async () => {
-    const { ask, admitted, settle, finishOldest } = createPool(1)
-    repeat(20, () => ask('surging'))
-    repeat(5, () => ask('calm'))
+    const { ask: admit, admitted, settle, finishOldest } = createPool(1)
+    repeat(20, () => admit('surging'))
+    repeat(5, () => admit('calm'))
     await settle()
     for (let turn = 0; turn < 10; turn += 1) await finishOldest()
     expect(count(admitted, 'calm')).toBe(5)
   })
 
   it('shares tokens, not requests', async () => {
-    const { ask, admitted, settle, finishOldest } = createPool(1)
-    repeat(40, () => ask('large', { tokens: 300 }))
-    repeat(40, () => ask('small', { tokens: 100 }))
+    const { ask: admit, admitted, settle, finishOldest } = createPool(1)
+    repeat(40, () => admit('large', { tokens: 300 }))
+    repeat(40, () => admit('small', { tokens: 100 }))
     await settle()
     for (let turn = 0; turn < 39; turn += 1) await finishOldest(admitted.at(-1) === 'large' ? 300 : 100)
     expect(count(admitted, 'small') / count(admitted, 'large')).toBeCloseTo(3, 0)
   })
 
   it('shares in proportion to the weights of the accounts', async () => {
-    const { ask, admitted, settle, finishOldest } = createPool(1, {}, { heavy: 3, light: 1 })
-    repeat(40, () => ask('heavy'))
-    repeat(40, () => ask('light'))
+    const { ask: admit, admitted, settle, finishOldest } = createPool(1, {}, { heavy: 3, light: 1 })
+    repeat(40, () => admit('heavy'))
+    repeat(40, () => admit('light'))
     await settle()
     for (let turn = 0; turn < 39; turn += 1) await finishOldest()
     expect(count(admitted, 'heavy')).toBe(30)
@@ -99,47 +99,47 @@
 
   // An account that sends to two routers would otherwise get its share twice.
   it('includes the usage that other nodes report', async () => {
-    const { api, ask, admitted, settle, finishOldest } = createPool(1)
+    const { api, ask: admit, admitted, settle, finishOldest } = createPool(1)
     api.mergeUsage('other router', [{ clientAccount: 'surging', service: 'desk', tokens: 1_000 }])
-    repeat(20, () => ask('surging'))
-    repeat(10, () => ask('calm'))
+    repeat(20, () => admit('surging'))
+    repeat(10, () => admit('calm'))
     await settle()
     for (let turn = 0; turn < 9; turn += 1) await finishOldest()
     expect(count(admitted, 'surging')).toBe(1)
   })
 
   it('drops the usage report of a peer that has stopped reporting', async () => {
-    const { clock, api, ask, admitted, settle, finishOldest } = createPool(1)
+    const { clock, api, ask: admit, admitted, settle, finishOldest } = createPool(1)
     api.mergeUsage('other router', [{ clientAccount: 'surging', service: 'desk', tokens: 1_000 }])
     clock.advance(defaultAdmissionOptions.peerUsageMaximumAgeMs + 1)
-    repeat(5, () => ask('surging'))
-    repeat(5, () => ask('calm'))
+    repeat(5, () => admit('surging'))
+    repeat(5, () => admit('calm'))
     await settle()
     for (let turn = 0; turn < 5; turn += 1) await finishOldest()
     expect(count(admitted, 'surging')).toBe(3)
   })
 
   it('publishes only the largest users', async () => {
-    const { api, ask, settle } = createPool(10, { publishedAccounts: 2 })
-    ask('small', { tokens: 1 })
-    ask('large', { tokens: 900 })
-    ask('middle', { tokens: 90 })
+    const { api, ask: admit, settle } = createPool(10, { publishedAccounts: 2 })
+    admit('small', { tokens: 1 })
+    admit('large', { tokens: 900 })
+    admit('middle', { tokens: 90 })
     await settle()
     expect(api.usage()).toEqual([{ service: 'desk', clientAccount: 'large', tokens: 900 }, { service: 'desk', clientAccount: 'middle', tokens: 90 }])
   })
 
   it('gives overnight requests their configured share under interactive load', async () => {
-    const { ask, admitted, settle, finishOldest } = createPool(1, { overnightShare: 0.25 })
-    repeat(60, () => ask('desk'))
-    repeat(60, () => ask('summaries', { overnight: true }))
+    const { ask: admit, admitted, settle, finishOldest } = createPool(1, { overnightShare: 0.25 })
+    repeat(60, () => admit('desk'))
+    repeat(60, () => admit('summaries', { overnight: true }))
     await settle()
     for (let turn = 0; turn < 39; turn += 1) await finishOldest()
     expect(count(admitted, 'summaries')).toBe(10)
   })
 
   it('uses slots that are freed by other nodes', async () => {
-    const { clock, pool, ask, admitted, settle } = createPool(0)
-    ask('a')
+    const { clock, pool, ask: admit, admitted, settle } = createPool(0)
+    admit('a')
     pool.slots = 1
     clock.advance(defaultAdmissionOptions.pollIntervalMs)
     await settle()
@@ -149,80 +149,80 @@
 
 describe('createAdmission when the queue is full', () => {
   it('limits the waiting requests of one account', async () => {
-    const { ask } = createPool(0, { maximumQueuedPerAccount: 2 })
-    ask('a')
-    ask('a')
-    expect(reasonOf(await ask('a'))).toBe('queueFull')
+    const { ask: admit } = createPool(0, { maximumQueuedPerAccount: 2 })
+    admit('a')
+    admit('a')
+    expect(reasonOf(await admit('a'))).toBe('queueFull')
   })
 
   it('queues no request when the maximum queue length is 0', async () => {
-    const { ask } = createPool(1, { maximumQueued: 0 })
-    expect(reasonOf(await ask('a'))).toBe('admitted')
-    expect(reasonOf(await ask('b'))).toBe('overShare')
+    const { ask: admit } = createPool(1, { maximumQueued: 0 })
+    expect(reasonOf(await admit('a'))).toBe('admitted')
+    expect(reasonOf(await admit('b'))).toBe('overShare')
   })
 
   it('refuses a request of the account furthest over its share, with a Retry-After', async () => {
-    const { ask } = createPool(0, { maximumQueued: 3 })
-    const surging = repeat(3, () => ask('surging'))
-    ask('calm')
+    const { ask: admit } = createPool(0, { maximumQueued: 3 })
+    const surging = repeat(3, () => admit('surging'))
+    admit('calm')
     const refused = await surging[2]!
     expect(refused).toMatchObject({ ok: false, error: { reason: 'overShare' } })
     expect(!refused.ok && refused.error.retryAfterMs).toBeGreaterThan(0)
   })
 
   it('refuses a new request whose account is furthest over its share', async () => {
-    const { ask } = createPool(0, { maximumQueued: 2 })
-    ask('calm')
-    ask('surging')
-    expect(reasonOf(await ask('surging'))).toBe('overShare')
+    const { ask: admit } = createPool(0, { maximumQueued: 2 })
+    admit('calm')
+    admit('surging')
+    expect(reasonOf(await admit('surging'))).toBe('overShare')
   })
 
   it('refuses waiting overnight requests before interactive ones', async () => {
-    const { ask } = createPool(0, { maximumQueued: 1 })
-    const overnight = ask('summaries', { overnight: true })
-    ask('desk')
+    const { ask: admit } = createPool(0, { maximumQueued: 1 })
+    const overnight = admit('summaries', { overnight: true })
+    admit('desk')
     expect(reasonOf(await overnight)).toBe('overShare')
   })
 
   it('refuses overnight requests when interactive ones fill the queue', async () => {
-    const { ask } = createPool(0, { maximumQueued: 1 })
-    ask('desk')
-    expect(reasonOf(await ask('summaries', { overnight: true }))).toBe('overShare')
+    const { ask: admit } = createPool(0, { maximumQueued: 1 })
+    admit('desk')
+    expect(reasonOf(await admit('summaries', { overnight: true }))).toBe('overShare')
   })
 })
 
 describe('createAdmission deadlines and cancellation', () => {
   it('refuses a request whose deadline has passed', async () => {
-    const { clock, ask } = createPool(1)
-    expect(reasonOf(await ask('a', { deadlineAt: clock.now() }))).toBe('deadline')
+    const { clock, ask: admit } = createPool(1)
+    expect(reasonOf(await admit('a', { deadlineAt: clock.now() }))).toBe('deadline')
   })
 
   it('refuses a waiting request at its deadline', async () => {
-    const { clock, ask, settle } = createPool(0)
-    const waiting = ask('a', { deadlineAt: clock.now() + 10 })
+    const { clock, ask: admit, settle } = createPool(0)
+    const waiting = admit('a', { deadlineAt: clock.now() + 10 })
     await settle()
     clock.advance(10)
     expect(reasonOf(await waiting)).toBe('deadline')
   })
 
   it('refuses at once a request that the queue cannot serve before its deadline', async () => {
-    const { clock, ask, settle, finishOldest } = createPool(1)
-    repeat(20, () => ask('a'))
+    const { clock, ask: admit, settle, finishOldest } = createPool(1)
+    repeat(20, () => admit('a'))
     await settle()
     for (let turn = 0; turn < 5; turn += 1) {
       clock.advance(1_000)
       await finishOldest()
     }
-    const refused = await ask('a', { deadlineAt: clock.now() + 2_000 })
+    const refused = await admit('a', { deadlineAt: clock.now() + 2_000 })
     expect(reasonOf(refused)).toBe('deadline')
   })
 
   it('removes the request of a caller that disconnects from the queue', async () => {
-    const { ask, admitted, settle, finishOldest } = createPool(1)
+    const { ask: admit, admitted, settle, finishOldest } = createPool(1)
     const hangUp = new AbortController()
-    ask('a')
-    const waiting = ask('a', { signal: hangUp.signal })
-    ask('b')
+    admit('a')
+    const waiting = admit('a', { signal: hangUp.signal })
+    admit('b')
     await settle()
     hangUp.abort()
     expect(reasonOf(await waiting)).toBe('cancelled')
--- a/src/services/chatDirectory/index.ts
+++ b/src/services/chatDirectory/index.ts
@@ -34,7 +34,7 @@
 /** Hash of a chat key in at most 11 characters; peers send it instead of the key, which may be long. */
 const shortenChatKey = (chatKey: string): string => hashChatKey(chatKey).toString(RADIX)
 
-const readShortKey = (shortKey: string): number => Number.parseInt(shortKey, RADIX)
+const parseShortKey = (shortKey: string): number => Number.parseInt(shortKey, RADIX)
 
 /**
  * Creates the chat directory of one node.
@@ -59,7 +59,7 @@
     ? undefined
     : new LRUCache<number, number>({ max: settings.directoryEntries, ttl: settings.directoryTtlMs, ttlResolution: 0, perf: { now: () => clock.now() + 1 } })
 
-  const indexOf = (backendServer: string): number => {
+  const findServerIndex = (backendServer: string): number => {
     const known = serverIndexes.get(backendServer)
     if (known !== undefined) return known
     const index = serverNames.push(backendServer) - 1
@@ -67,12 +67,12 @@
     return index
   }
 
-  const storeHere = (shortKey: string, backendServer: string): void => {
-    entries?.set(readShortKey(shortKey), indexOf(backendServer))
+  const storeLocally = (shortKey: string, backendServer: string): void => {
+    entries?.set(parseShortKey(shortKey), findServerIndex(backendServer))
   }
 
-  const lookUpHere = (shortKey: string): string | undefined => {
-    const index = entries?.get(readShortKey(shortKey))
+  const lookUpLocally = (shortKey: string): string | undefined => {
+    const index = entries?.get(parseShortKey(shortKey))
     return index === undefined ? undefined : serverNames[index]
   }
 
@@ -80,7 +80,7 @@
 
   const isSelf = (member: Member): boolean => member.nodeId === membership.self().nodeId
 
-  const askOwner = async (owner: Member, shortKey: string): Promise<string | undefined> => {
+  const requestFromOwner = async (owner: Member, shortKey: string): Promise<string | undefined> => {
     const result = await transport.request(owner.address, { kind: 'directoryLookup', chatKey: shortKey }, settings.peerTimeoutMs)
     if (!result.ok) metrics?.count('directory_lookups', { outcome: result.error.kind })
     return result.ok && result.value.kind === 'directoryEntry' ? result.value.backendServer : undefined
@@ -91,24 +91,24 @@
       lookUp: async (chatKey) => {
         const shortKey = shortenChatKey(chatKey)
         const owner = findOwner(shortKey)
-        const found = isSelf(owner) ? lookUpHere(shortKey) : await askOwner(owner, shortKey)
+        const found = isSelf(owner) ? lookUpLocally(shortKey) : await requestFromOwner(owner, shortKey)
         metrics?.count('directory_lookups', { outcome: found === undefined ? 'miss' : 'hit' })
         return found
       },
       store: (chatKey, backendServer) => {
         const shortKey = shortenChatKey(chatKey)
         const owner = findOwner(shortKey)
-        if (isSelf(owner)) return storeHere(shortKey, backendServer)
+        if (isSelf(owner)) return storeLocally(shortKey, backendServer)
         transport.send(owner.address, { kind: 'directoryStore', chatKey: shortKey, backendServer })
       }
     },
     start: () => {
       transport.handle('directoryStore', ({ chatKey, backendServer }) => {
-        storeHere(chatKey, backendServer)
+        storeLocally(chatKey, backendServer)
         return { kind: 'none' }
       })
       transport.handle('directoryLookup', ({ chatKey }) => {
-        const backendServer = lookUpHere(chatKey)
+        const backendServer = lookUpLocally(chatKey)
         return backendServer === undefined ? { kind: 'directoryEntry' } : { kind: 'directoryEntry', backendServer }
       })
     }
--- a/src/services/dispatch/_lib/attemptEnd.ts
+++ b/src/services/dispatch/_lib/attemptEnd.ts
@@ -23,7 +23,7 @@
   | { readonly kind: 'callerLeft', readonly attempt: FailedAttempt }
 
 /** Computes the final state of a failed attempt from its events. */
-export const failAfter = (...events: readonly AttemptEvent[]): FailedAttempt => {
+export const createFailedAttempt = (...events: readonly AttemptEvent[]): FailedAttempt => {
   const start: AttemptState = { stage: 'notSent' }
   const state = events.reduce<AttemptState>(advanceAttempt, start)
   if (state.stage !== 'failed') throw new Error(`expected a failed attempt, got stage ${state.stage}`)
--- a/src/services/dispatch/_lib/createLedger.ts
+++ b/src/services/dispatch/_lib/createLedger.ts
@@ -6,11 +6,11 @@
  */
 import type { Clock, RequestLedger } from '../../../types/index.js'
 
-export type RequestFate = 'complete' | 'refused' | 'unknown'
+export type RequestOutcome = 'complete' | 'refused' | 'unknown'
 
 export type Ledger = {
   /** Opens an entry for a request; the returned function settles it and must be called once. */
-  readonly open: () => (fate: RequestFate) => void
+  readonly open: () => (outcome: RequestOutcome) => void
   readonly read: () => RequestLedger
   /** Milliseconds since the oldest open request was accepted; 0 when none is open. */
   readonly oldestOpenMs: () => number
@@ -23,8 +23,8 @@
   /** Time at which each open request was accepted, the oldest first. */
   const openedAt = new Map<number, number>()
 
-  const settle = (fate: RequestFate): void => {
-    counts[fate] += 1
+  const settle = (outcome: RequestOutcome): void => {
+    counts[outcome] += 1
     counts.open -= 1
     if (counts.open > 0) return
     for (const resolve of waiting.splice(0)) resolve()
@@ -36,9 +36,9 @@
       counts.open += 1
       const entry = counts.accepted
       openedAt.set(entry, clock.now())
-      return (fate) => {
+      return (outcome) => {
         if (!openedAt.delete(entry)) throw new Error('request ledger: the entry of a request was settled twice')
-        settle(fate)
+        settle(outcome)
       }
     },
     read: () => ({ ...counts }),
--- a/src/services/dispatch/_lib/createReachabilityProbes.ts
+++ b/src/services/dispatch/_lib/createReachabilityProbes.ts
@@ -11,43 +11,43 @@
   readonly check: (backendServer: BackendServer) => boolean
 }
 
-type Probing = { readonly failures: number, readonly isRunning: boolean, readonly at: number }
+type ProbeState = { readonly failures: number, readonly isRunning: boolean, readonly at: number }
 
 const PROBE_TIMEOUT_MS = 1_000
-const PROBES_A_SECOND = 3
-const FAILURES_TO_LOSE = 2
+const MAXIMUM_PROBES_PER_SECOND = 3
+const FAILURES_UNTIL_UNREACHABLE = 2
 /** Results older than this are ignored. */
 const RESULT_LIFETIME_MS = 5_000
 
-const NOT_PROBED: Probing = { failures: 0, isRunning: false, at: -Infinity }
+const NOT_PROBED: ProbeState = { failures: 0, isRunning: false, at: -Infinity }
 
 export const createReachabilityProbes = (clock: Clock, backendClient: Pick<BackendClient, 'readLoad'>, intervalMs: number): ReachabilityProbes => {
-  const known = new Map<string, Probing>()
-  let second = { startedAt: -Infinity, probes: 0 }
+  const states = new Map<string, ProbeState>()
+  let currentSecond = { startedAt: -Infinity, probes: 0 }
 
-  const takeTurn = (now: number): boolean => {
-    if (now - second.startedAt >= 1_000) second = { startedAt: now, probes: 0 }
-    if (second.probes >= PROBES_A_SECOND) return false
-    second.probes += 1
+  const takeProbeSlot = (now: number): boolean => {
+    if (now - currentSecond.startedAt >= 1_000) currentSecond = { startedAt: now, probes: 0 }
+    if (currentSecond.probes >= MAXIMUM_PROBES_PER_SECOND) return false
+    currentSecond.probes += 1
     return true
   }
 
   const probe = async (backendServer: BackendServer, failures: number): Promise<void> => {
-    known.set(backendServer.name, { failures, isRunning: true, at: clock.now() })
+    states.set(backendServer.name, { failures, isRunning: true, at: clock.now() })
     const report = await backendClient.readLoad(backendServer.url, PROBE_TIMEOUT_MS)
-    if (report.ok) known.delete(backendServer.name)
-    else known.set(backendServer.name, { failures: failures + 1, isRunning: false, at: clock.now() })
+    if (report.ok) states.delete(backendServer.name)
+    else states.set(backendServer.name, { failures: failures + 1, isRunning: false, at: clock.now() })
   }
 
   return {
     check: (backendServer) => {
       const now = clock.now()
-      const found = known.get(backendServer.name) ?? NOT_PROBED
-      const isFresh = now - found.at < RESULT_LIFETIME_MS
-      const failures = isFresh ? found.failures : 0
-      const isDue = !found.isRunning && (found === NOT_PROBED || now - found.at >= intervalMs / 2)
-      if (isDue && takeTurn(now)) probe(backendServer, failures)
-      return failures >= FAILURES_TO_LOSE
+      const state = states.get(backendServer.name) ?? NOT_PROBED
+      const isRecent = now - state.at < RESULT_LIFETIME_MS
+      const failures = isRecent ? state.failures : 0
+      const isDue = !state.isRunning && (state === NOT_PROBED || now - state.at >= intervalMs / 2)
+      if (isDue && takeProbeSlot(now)) probe(backendServer, failures)
+      return failures >= FAILURES_UNTIL_UNREACHABLE
     }
   }
 }
--- a/src/services/dispatch/_lib/createReply.ts
+++ b/src/services/dispatch/_lib/createReply.ts
@@ -9,7 +9,7 @@
 
 export type Reply = {
   readonly answer: Promise<CallerAnswer>
-  readonly sendWhole: (status: number, headers: Headers, body: Uint8Array) => void
+  readonly sendComplete: (status: number, headers: Headers, body: Uint8Array) => void
   readonly startStream: (status: number, headers: Headers) => void
   /** Applies backpressure while the caller is slow; resolves false when it has stopped reading or the signal aborts. */
   readonly sendData: (bytes: Uint8Array, signal: AbortSignal) => Promise<boolean>
@@ -22,62 +22,62 @@
 
 type PartQueue = {
   readonly parts: AnswerPart[]
-  readonly wakeReader: () => void
+  readonly notifyReader: () => void
   readonly waitForRoom: (signal: AbortSignal) => Promise<boolean>
   readonly iterable: AsyncIterable<AnswerPart>
 }
 
 /** Passes a callback to `keepWake`; resolves when it is called or the signal aborts, and removes its listener. */
-const waitForWake = (signal: AbortSignal, keepWake: (wake: () => void) => void): Promise<void> => new Promise((resolve) => {
-  const wake = (): void => {
-    signal.removeEventListener('abort', wake)
+const waitForNotification = (signal: AbortSignal, storeNotify: (notify: () => void) => void): Promise<void> => new Promise((resolve) => {
+  const notify = (): void => {
+    signal.removeEventListener('abort', notify)
     resolve()
   }
-  signal.addEventListener('abort', wake)
-  keepWake(wake)
+  signal.addEventListener('abort', notify)
+  storeNotify(notify)
 })
 
 const createPartQueue = (): PartQueue => {
   const parts: AnswerPart[] = []
-  const reader = { hasLeft: false }
-  let wakeReader = (): void => {}
-  let wakeWriter = (): void => {}
+  const reader = { isDone: false }
+  let notifyReader = (): void => {}
+  let notifyWriter = (): void => {}
 
   const queuedBytes = (): number => parts.reduce((sum, part) => sum + (part.kind === 'data' ? part.bytes.length : 0), 0)
 
   const waitForRoom = async (signal: AbortSignal): Promise<boolean> => {
-    while (!reader.hasLeft && !signal.aborted && queuedBytes() > HIGH_WATER_BYTES) {
-      await waitForWake(signal, (wake) => { wakeWriter = wake })
+    while (!reader.isDone && !signal.aborted && queuedBytes() > HIGH_WATER_BYTES) {
+      await waitForNotification(signal, (notify) => { notifyWriter = notify })
     }
-    return !reader.hasLeft && !signal.aborted
+    return !reader.isDone && !signal.aborted
   }
 
   const next = async (): Promise<IteratorResult<AnswerPart>> => {
-    while (!reader.hasLeft) {
+    while (!reader.isDone) {
       const part = parts.shift()
-      wakeWriter()
+      notifyWriter()
       if (part === undefined) {
-        await new Promise<void>((resolve) => { wakeReader = resolve })
+        await new Promise<void>((resolve) => { notifyReader = resolve })
         continue
       }
-      if (part.kind !== 'data') reader.hasLeft = true
+      if (part.kind !== 'data') reader.isDone = true
       return { done: false, value: part }
     }
     return { done: true, value: undefined }
   }
 
-  const leave = async (): Promise<IteratorResult<AnswerPart>> => {
-    reader.hasLeft = true
-    wakeWriter()
-    wakeReader()
+  const cancelReading = async (): Promise<IteratorResult<AnswerPart>> => {
+    reader.isDone = true
+    notifyWriter()
+    notifyReader()
     return { done: true, value: undefined }
   }
 
   return {
     parts,
-    wakeReader: () => wakeReader(),
+    notifyReader: () => notifyReader(),
     waitForRoom,
-    iterable: { [Symbol.asyncIterator]: () => ({ next, return: leave }) }
+    iterable: { [Symbol.asyncIterator]: () => ({ next, return: cancelReading }) }
   }
 }
 
@@ -89,12 +89,12 @@
 
   const push = (part: AnswerPart): void => {
     queue.parts.push(part)
-    queue.wakeReader()
+    queue.notifyReader()
   }
 
   return {
     answer,
-    sendWhole: (status, headers, body) => settle({ kind: 'whole', status, headers, body }),
+    sendComplete: (status, headers, body) => settle({ kind: 'whole', status, headers, body }),
     startStream: (status, headers) => {
       isStreaming = true
       settle({ kind: 'stream', status, headers, parts: queue.iterable })
--- a/src/services/dispatch/_lib/createRequestScope.ts
+++ b/src/services/dispatch/_lib/createRequestScope.ts
@@ -4,18 +4,18 @@
  */
 import type { Clock } from '../../../types/index.js'
 
-export type RequestEnd = 'deadline' | 'hungUp'
+export type ScopeEndCause = 'deadline' | 'hungUp'
 
 export type RequestScope = {
   /** Aborts at the deadline or when the caller disconnects. */
   readonly signal: AbortSignal
   /** Why the signal was aborted; `undefined` before. */
-  readonly ended: () => RequestEnd | undefined
+  readonly endCause: () => ScopeEndCause | undefined
   readonly remainingMs: () => number
   readonly elapsedMs: () => number
   readonly deadlineAt: number
   /** Detaches the scope from the caller: a later disconnect does not end the request. */
-  readonly outliveCaller: () => void
+  readonly detachFromCaller: () => void
   /** Resolves with `undefined` when the scope ends first. */
   readonly race: <Value>(promise: Promise<Value>) => Promise<Value | undefined>
   /** Resolves false when the scope ends first. */
@@ -27,19 +27,19 @@
   const controller = new AbortController()
   const startedAt = clock.now()
   const deadlineAt = startedAt + deadlineMs
-  let ended: RequestEnd | undefined
+  let endCause: ScopeEndCause | undefined
 
-  const end = (cause: RequestEnd): void => {
-    if (ended !== undefined) return
-    ended = cause
+  const end = (cause: ScopeEndCause): void => {
+    if (endCause !== undefined) return
+    endCause = cause
     controller.abort(new Error(cause))
   }
 
-  const onHangUp = (): void => end('hungUp')
+  const onDisconnect = (): void => end('hungUp')
   const timer = clock.setTimer(deadlineMs, () => end('deadline'))
   if (deadlineMs <= 0) end('deadline')
   if (callerSignal.aborted) end('hungUp')
-  callerSignal.addEventListener('abort', onHangUp, { once: true })
+  callerSignal.addEventListener('abort', onDisconnect, { once: true })
 
   const race = <Value>(promise: Promise<Value>): Promise<Value | undefined> => {
     if (controller.signal.aborted) {
@@ -55,23 +55,23 @@
 
   return {
     signal: controller.signal,
-    ended: () => ended,
+    endCause: () => endCause,
     remainingMs: () => deadlineAt - clock.now(),
     elapsedMs: () => clock.now() - startedAt,
     deadlineAt,
-    outliveCaller: () => callerSignal.removeEventListener('abort', onHangUp),
+    detachFromCaller: () => callerSignal.removeEventListener('abort', onDisconnect),
     race,
     wait: async (delayMs) => {
-      let wake = (): void => {}
-      const elapsed = new Promise<true>((resolve) => { wake = () => resolve(true) })
-      const delay = clock.setTimer(delayMs, wake)
+      let resolveDelay = (): void => {}
+      const elapsed = new Promise<true>((resolve) => { resolveDelay = () => resolve(true) })
+      const delay = clock.setTimer(delayMs, resolveDelay)
       const isElapsed = await race(elapsed)
       delay.cancel()
       return isElapsed ?? false
     },
     close: () => {
       timer.cancel()
-      callerSignal.removeEventListener('abort', onHangUp)
+      callerSignal.removeEventListener('abort', onDisconnect)
     }
   }
 }
--- a/src/services/dispatch/_lib/createRetryPlanner.ts
+++ b/src/services/dispatch/_lib/createRetryPlanner.ts
@@ -1,6 +1,6 @@
 /** Tracks the attempts of one request and builds the input of `planRetry` from them. */
 import { planRetry, type FailedAttempt, type RetryPlan } from '../../../decisions/planRetry/index.js'
-import { mayRepeat, type RequestContext } from './requestContext.js'
+import { isIdempotent, type RequestContext } from './requestContext.js'
 
 export type ResumeState = { readonly isResumable: boolean, readonly resumes: number }
 
@@ -33,7 +33,7 @@
     plan: (attempt, resume = NOT_RESUMABLE) => planRetry({
       attempt,
       mayHaveRunBefore: mayHaveRun,
-      repeatable: mayRepeat(context),
+      repeatable: isIdempotent(context),
       delivered: reply.hasStarted(),
       resumable: resume.isResumable,
       attempts,
--- a/src/services/dispatch/_lib/readModelRequest.ts
+++ b/src/services/dispatch/_lib/readModelRequest.ts
@@ -1,11 +1,11 @@
 /** Reads the parts of a chat completion request that routing needs. */
 import { z } from 'zod'
-import { hashHex } from './createAuthenticator.js'
+import { hashHex } from './createHintAuthenticator.js'
 
 export type ModelRequest = {
   readonly model: string
   /** Hash of the system prompt and the first user message; identifies the chat when the caller gives no chat id. */
-  readonly opening: string
+  readonly openingHash: string
   /** Whether the messages contain no answer of the model yet. */
   readonly isNewChat: boolean
   /** Estimated tokens of prompt and answer together. */
@@ -25,7 +25,7 @@
 const BYTES_PER_TOKEN = 4
 const DEFAULT_ANSWER_TOKENS = 256
 
-const readOpening = (messages: readonly z.infer<typeof message>[]): string => {
+const hashOpening = (messages: readonly z.infer<typeof message>[]): string => {
   const system = messages.filter(({ role }) => SYSTEM_ROLES.has(role)).map(({ content }) => content)
   const firstUser = messages.find(({ role }) => role === 'user')?.content ?? null
   return hashHex(JSON.stringify([system, firstUser]))
@@ -45,7 +45,7 @@
   const { model, messages, max_tokens: maxTokens, max_completion_tokens: maxCompletionTokens } = parsed.data
   return {
     model,
-    opening: readOpening(messages),
+    openingHash: hashOpening(messages),
     isNewChat: !messages.some(({ role }) => role === 'assistant'),
     tokens: Math.ceil(body.length / BYTES_PER_TOKEN) + (maxCompletionTokens ?? maxTokens ?? DEFAULT_ANSWER_TOKENS)
   }
--- a/src/services/dispatch/_lib/readRoutedRequest.ts
+++ b/src/services/dispatch/_lib/readRoutedRequest.ts
@@ -8,7 +8,7 @@
 import { CHAT_COOKIE } from '../../../decisions/selectReturnedHeaders/index.js'
 import { failure, success } from '../../../kernel/index.js'
 import type { BackendServiceKind, CallerRequest, ClientAccount, Headers, Refusal, RefusalReason, Result, Route } from '../../../types/index.js'
-import { hashHex } from './createAuthenticator.js'
+import { hashHex } from './createHintAuthenticator.js'
 import type { ConfigurationIndex } from './indexConfiguration.js'
 import { readModelRequest } from './readModelRequest.js'
 
@@ -35,7 +35,7 @@
 
 const MAXIMUM_CHAT_ID_LENGTH = 256
 const IDEMPOTENCY_KEY = /^[\x21-\x7e]{1,255}$/
-const WHOLE_MILLISECONDS = /^[0-9]{1,9}$/
+const INTEGER_MILLISECONDS = /^[0-9]{1,9}$/
 const BYTES_PER_TOKEN = 4
 
 const refuse = (reason: RefusalReason, message: string): Result<never, Refusal> =>
@@ -63,7 +63,7 @@
   if (body === undefined) return refuse('badRequest', 'the body is not a chat completion request')
   const route = index.routesByModel.get(body.model)
   if (route === undefined) return refuse('unknownModel', `there is no model ${JSON.stringify(body.model)}`)
-  const chat = readChatId(request.headers) ?? body.opening
+  const chat = readChatId(request.headers) ?? body.openingHash
   return success({
     route,
     serviceKind: 'model',
@@ -92,11 +92,11 @@
     : readPlainDestination(index, request, account, path)
 
 const readDeadline = (headers: Headers, route: Route): Result<number, Refusal> => {
-  const longest = route.deadlineSeconds * 1_000
-  const asked = headers['x-deadline-ms']
-  if (asked === undefined) return success(longest)
-  if (!WHOLE_MILLISECONDS.test(asked)) return refuse('badRequest', 'X-Deadline-Ms must be whole milliseconds')
-  return success(Math.min(longest, Number(asked)))
+  const maximumMs = route.deadlineSeconds * 1_000
+  const requested = headers['x-deadline-ms']
+  if (requested === undefined) return success(maximumMs)
+  if (!INTEGER_MILLISECONDS.test(requested)) return refuse('badRequest', 'X-Deadline-Ms must be whole milliseconds')
+  return success(Math.min(maximumMs, Number(requested)))
 }
 
 const readIdempotencyKey = (headers: Headers, route: Route): Result<string | undefined, Refusal> => {
--- a/src/services/dispatch/_lib/relayBody.ts
+++ b/src/services/dispatch/_lib/relayBody.ts
@@ -4,19 +4,19 @@
  * that is too large to buffer is streamed.
  */
 import type { BackendAnswer, BackendServer, Headers } from '../../../types/index.js'
-import { failAfter, type AttemptEnd } from './attemptEnd.js'
+import { createFailedAttempt, type AttemptEnd } from './attemptEnd.js'
 import { describeAnswerHeaders } from './describeExchange.js'
 import { readTokenUsage } from './readTokenUsage.js'
-import { mayRepeat, type RequestContext } from './requestContext.js'
+import { isIdempotent, type RequestContext } from './requestContext.js'
 
 const FIRST_SERVER_ERROR = 500
 
-const failCut = (message: string): AttemptEnd =>
-  ({ kind: 'failed', attempt: failAfter('written', 'answerStarted', 'cut'), message, outcome: 'failed' })
+const failTruncated = (message: string): AttemptEnd =>
+  ({ kind: 'failed', attempt: createFailedAttempt('written', 'answerStarted', 'cut'), message, outcome: 'failed' })
 
 /** Marks a backend server's error answer: the request may have run, so client libraries must not retry it. */
-const describeDoubt = (context: RequestContext, status: number): Headers =>
-  status >= FIRST_SERVER_ERROR && !mayRepeat(context) ? { 'x-request-outcome': 'unknown', 'x-should-retry': 'false' } : {}
+const describeUnknownOutcome = (context: RequestContext, status: number): Headers =>
+  status >= FIRST_SERVER_ERROR && !isIdempotent(context) ? { 'x-request-outcome': 'unknown', 'x-should-retry': 'false' } : {}
 
 /**
  * Detects an answer that its server truncated but terminated properly, so that
@@ -35,9 +35,9 @@
   }
 }
 
-const deliverWhole = (context: RequestContext, answer: BackendAnswer, headers: Headers, body: Buffer): AttemptEnd => {
-  if (isBrokenJson(context, answer, body)) return failCut('the answer is not whole JSON')
-  context.reply.sendWhole(answer.status, headers, body)
+const deliverComplete = (context: RequestContext, answer: BackendAnswer, headers: Headers, body: Buffer): AttemptEnd => {
+  if (isBrokenJson(context, answer, body)) return failTruncated('the answer is not whole JSON')
+  context.reply.sendComplete(answer.status, headers, body)
   const usage = context.routed.serviceKind === 'model' ? readTokenUsage(body.toString('utf8')) : undefined
   return {
     kind: 'delivered',
@@ -51,13 +51,13 @@
 
 export const relayBody = async (context: RequestContext, backendServer: BackendServer, answer: BackendAnswer): Promise<AttemptEnd> => {
   const { reply, scope, limits } = context
-  const headers = { ...describeAnswerHeaders(context, backendServer, answer), ...describeDoubt(context, answer.status) }
+  const headers = { ...describeAnswerHeaders(context, backendServer, answer), ...describeUnknownOutcome(context, answer.status) }
   const bufferBytes = isEventStream(answer.headers) ? 0 : limits.answerBufferBytes
   const chunks: Uint8Array[] = []
   let size = 0
 
   for await (const part of answer.body) {
-    if (part.kind === 'cut') return failCut(part.message)
+    if (part.kind === 'cut') return failTruncated(part.message)
     if (part.kind === 'end') break
     size += part.bytes.length
     if (size <= bufferBytes) {
@@ -65,11 +65,11 @@
       continue
     }
     if (!reply.hasStarted()) reply.startStream(answer.status, headers)
-    const isTaken = await reply.sendData(Buffer.concat([...chunks.splice(0), part.bytes]), scope.signal)
-    if (!isTaken) return { kind: 'callerLeft', attempt: failAfter('written', 'answerStarted', 'cancelled') }
+    const isCallerReading = await reply.sendData(Buffer.concat([...chunks.splice(0), part.bytes]), scope.signal)
+    if (!isCallerReading) return { kind: 'callerLeft', attempt: createFailedAttempt('written', 'answerStarted', 'cancelled') }
   }
 
-  if (!reply.hasStarted()) return deliverWhole(context, answer, headers, Buffer.concat(chunks))
+  if (!reply.hasStarted()) return deliverComplete(context, answer, headers, Buffer.concat(chunks))
   reply.endStream()
   return { kind: 'delivered', outcome: 'complete' }
 }
--- a/src/services/dispatch/_lib/relayEvents.ts
+++ b/src/services/dispatch/_lib/relayEvents.ts
@@ -6,11 +6,11 @@
 import { createParser, type EventSourceMessage } from 'eventsource-parser'
 import { orderStreamEvent, type StreamPosition } from '../../../decisions/orderStreamEvent/index.js'
 import type { BackendAnswer, BackendBodyPart, BackendServer, Headers } from '../../../types/index.js'
-import { failAfter, type AttemptEnd } from './attemptEnd.js'
+import { createFailedAttempt, type AttemptEnd } from './attemptEnd.js'
 import type { RetryPlanner } from './createRetryPlanner.js'
 import { describeAnswerHeaders } from './describeExchange.js'
 import { readTokenUsage, type TokenUsage } from './readTokenUsage.js'
-import { mayRepeat, type RequestContext } from './requestContext.js'
+import { isIdempotent, type RequestContext } from './requestContext.js'
 import { requestResume } from './requestResume.js'
 import { isUnreachable } from './watchReachability.js'
 
@@ -31,8 +31,8 @@
   lastEventAt: number | undefined
   isWhole: boolean
   /** The stream so far, where a duplicate request may need it; dropped when it exceeds the buffer limit. */
-  kept: Uint8Array[] | undefined
-  keptBytes: number
+  buffered: Uint8Array[] | undefined
+  bufferedBytes: number
 }
 
 const writeEvent = ({ id, event, data }: EventSourceMessage): Uint8Array => {
@@ -45,28 +45,28 @@
 }
 
 /** Checks the event against the sequence of event ids. The end marker may come without an id. */
-const judge = (progress: StreamProgress, event: EventSourceMessage): ReturnType<typeof orderStreamEvent> =>
+const checkEventOrder = (progress: StreamProgress, event: EventSourceMessage): ReturnType<typeof orderStreamEvent> =>
   event.data === END_MARKER && event.id === undefined
     ? { kind: 'forward', position: progress.position }
     : orderStreamEvent(progress.position, event.id)
 
-const keepEvent = ({ limits }: RequestContext, progress: StreamProgress, bytes: Uint8Array): void => {
-  progress.keptBytes += bytes.length
-  if (progress.keptBytes > limits.answerBufferBytes) progress.kept = undefined
-  progress.kept?.push(bytes)
+const bufferEvent = ({ limits }: RequestContext, progress: StreamProgress, bytes: Uint8Array): void => {
+  progress.bufferedBytes += bytes.length
+  if (progress.bufferedBytes > limits.answerBufferBytes) progress.buffered = undefined
+  progress.buffered?.push(bytes)
 }
 
 const startProgress = (context: RequestContext): StreamProgress =>
-  ({ position: { lastId: 0 }, usage: undefined, lastEventAt: undefined, isWhole: false, kept: mayRepeat(context) ? undefined : [], keptBytes: 0 })
+  ({ position: { lastId: 0 }, usage: undefined, lastEventAt: undefined, isWhole: false, buffered: isIdempotent(context) ? undefined : [], bufferedBytes: 0 })
 
-const deliver = (headers: Headers, status: number, { usage, kept }: StreamProgress): AttemptEnd => ({
+const deliver = (headers: Headers, status: number, { usage, buffered }: StreamProgress): AttemptEnd => ({
   kind: 'delivered',
   outcome: 'complete',
   ...(usage === undefined ? {} : { usage }),
-  ...(kept === undefined ? {} : { stored: { status, headers, body: Buffer.concat(kept) } })
+  ...(buffered === undefined ? {} : { stored: { status, headers, body: Buffer.concat(buffered) } })
 })
 
-const observePace = ({ dependencies, scope }: RequestContext, progress: StreamProgress): void => {
+const observeTokenTiming = ({ dependencies, scope }: RequestContext, progress: StreamProgress): void => {
   const now = scope.elapsedMs()
   if (progress.lastEventAt === undefined) dependencies.metrics.observe('first_token_seconds', now / 1_000)
   else dependencies.metrics.observe('between_tokens_seconds', (now - progress.lastEventAt) / 1_000)
@@ -75,21 +75,21 @@
 
 const forwardEvent = async (context: RequestContext, headers: Headers, status: number, progress: StreamProgress, event: EventSourceMessage): Promise<ConnectionEnd | undefined> => {
   const { reply, scope } = context
-  const verdict = judge(progress, event)
-  if (verdict.kind === 'drop') return undefined
-  if (verdict.kind === 'gap') return 'cut'
-  progress.position = verdict.position
+  const decision = checkEventOrder(progress, event)
+  if (decision.kind === 'drop') return undefined
+  if (decision.kind === 'gap') return 'cut'
+  progress.position = decision.position
   progress.usage = readTokenUsage(event.data) ?? progress.usage
-  observePace(context, progress)
+  observeTokenTiming(context, progress)
   if (!reply.hasStarted()) reply.startStream(status, headers)
   const bytes = writeEvent(event)
-  keepEvent(context, progress, bytes)
-  const isTaken = await reply.sendData(bytes, scope.signal)
-  if (!isTaken) return 'callerLeft'
+  bufferEvent(context, progress, bytes)
+  const isCallerReading = await reply.sendData(bytes, scope.signal)
+  if (!isCallerReading) return 'callerLeft'
   return event.data === END_MARKER ? 'whole' : undefined
 }
 
-const describeLastPart = ({ isWhole }: StreamProgress, part: Exclude<BackendBodyPart, { kind: 'data' }>): ConnectionEnd => {
+const classifyConnectionEnd = ({ isWhole }: StreamProgress, part: Exclude<BackendBodyPart, { kind: 'data' }>): ConnectionEnd => {
   if (isWhole) return 'whole'
   return part.kind === 'cut' && part.isIdle === true ? 'idle' : 'cut'
 }
@@ -99,7 +99,7 @@
   const decoder = new TextDecoder()
   const parser = createParser({ onEvent: (event) => { events.push(event) }, maxBufferSize: MAXIMUM_EVENT_CHARACTERS })
   for await (const part of answer.body) {
-    if (part.kind !== 'data') return describeLastPart(progress, part)
+    if (part.kind !== 'data') return classifyConnectionEnd(progress, part)
     if (progress.isWhole) continue
     parser.feed(decoder.decode(part.bytes, { stream: true }))
     for (const event of events.splice(0)) {
@@ -119,12 +119,12 @@
 type Resumed = { readonly answer: BackendAnswer, readonly resumes: number }
 
 /** Resumes the stream. Resumes without a new event count towards the limit; `made` is the number of those so far. */
-const resume = async (context: RequestContext, planner: RetryPlanner, backendServer: BackendServer, progress: StreamProgress, made: number): Promise<Resumed | undefined> => {
+const resume = async (context: RequestContext, planner: RetryPlanner, backendServer: BackendServer, progress: StreamProgress, resumesWithoutProgress: number): Promise<Resumed | undefined> => {
   const { dependencies, scope, reply } = context
-  const cut = failAfter('written', 'answerStarted', 'cut')
-  const isWorthAsking = reply.hasStarted() || !isUnreachable(context, backendServer)
-  let isResumable = progress.position.numbered !== false && isWorthAsking
-  for (let resumes = made; !scope.signal.aborted; resumes += 1) {
+  const cut = createFailedAttempt('written', 'answerStarted', 'cut')
+  const canRequestResume = reply.hasStarted() || !isUnreachable(context, backendServer)
+  let isResumable = progress.position.numbered !== false && canRequestResume
+  for (let resumes = resumesWithoutProgress; !scope.signal.aborted; resumes += 1) {
     const plan = planner.plan(cut, { isResumable, resumes })
     if (plan.kind !== 'resume' || !await scope.wait(plan.delayMs)) return undefined
     dependencies.metrics.count('retries', { decision: plan.kind })
@@ -144,11 +144,11 @@
     const before = progress.position.lastId
     const end = await relayConnection(context, headers, current.answer, progress)
     if (end === 'whole') return deliver(headers, first.status, progress)
-    if (end === 'callerLeft') return { kind: 'callerLeft', attempt: failAfter('written', 'answerStarted', 'cancelled') }
-    const hasMovedOn = progress.position.lastId > before
-    const inVain = hasMovedOn ? 0 : current.resumes
+    if (end === 'callerLeft') return { kind: 'callerLeft', attempt: createFailedAttempt('written', 'answerStarted', 'cancelled') }
+    const hasProgressed = progress.position.lastId > before
+    const resumesWithoutProgress = hasProgressed ? 0 : current.resumes
     // An engine that accepts the resume and then sends nothing is still working through its queue; only the deadline ends that wait.
-    current = await resume(context, planner, backendServer, progress, end === 'idle' ? Math.max(0, inVain - 1) : inVain)
+    current = await resume(context, planner, backendServer, progress, end === 'idle' ? Math.max(0, resumesWithoutProgress - 1) : resumesWithoutProgress)
   }
-  return { kind: 'failed', attempt: failAfter('written', 'answerStarted', 'cut'), message: 'the stream ended without its end marker', outcome: 'failed' }
+  return { kind: 'failed', attempt: createFailedAttempt('written', 'answerStarted', 'cut'), message: 'the stream ended without its end marker', outcome: 'failed' }
 }
--- a/src/services/dispatch/_lib/requestContext.ts
+++ b/src/services/dispatch/_lib/requestContext.ts
@@ -32,7 +32,7 @@
   /** Milliseconds between two reachability checks of the backend server while an attempt has no answer. */
   readonly reachabilityCheckMs: number
   /** Default Retry-After of a refusal, in milliseconds. */
-  readonly comeBackAfterMs: number
+  readonly defaultRetryAfterMs: number
 }
 
 export type RequestContext = {
@@ -47,5 +47,5 @@
 }
 
 /** Whether a request may be sent again although an earlier attempt may have run. */
-export const mayRepeat = ({ routed }: RequestContext): boolean =>
+export const isIdempotent = ({ routed }: RequestContext): boolean =>
   routed.route.repeatable || routed.route.backendIdempotent
--- a/src/services/dispatch/_lib/runAttempt.ts
+++ b/src/services/dispatch/_lib/runAttempt.ts
@@ -4,28 +4,28 @@
  * once for each attempt.
  */
 import type { AttemptOutcome, BackendAnswer, BackendError, BackendServer } from '../../../types/index.js'
-import { failAfter, type AttemptEnd } from './attemptEnd.js'
+import { createFailedAttempt, type AttemptEnd } from './attemptEnd.js'
 import type { RetryPlanner } from './createRetryPlanner.js'
 import { describeBackendRequest, describeCancel } from './describeExchange.js'
 import { relayBody } from './relayBody.js'
 import { relayEvents } from './relayEvents.js'
-import { mayRepeat, type RequestContext } from './requestContext.js'
+import { isIdempotent, type RequestContext } from './requestContext.js'
 import { watchReachability, type ReachabilityWatch } from './watchReachability.js'
 
 const REFUSED_STATUS = 503
-const LEAVING = 'leaving'
+const LEAVING_REASON = 'leaving'
 /** Statuses of a server or proxy that is unavailable; another backend server may still answer. */
 const UNAVAILABLE_STATUSES: ReadonlySet<number> = new Set([502, 503, 504])
 const CANCEL_TIMEOUT_MS = 2_000
 
 const sendFailures: { readonly [Kind in BackendError['kind']]: (error: Extract<BackendError, { kind: Kind }>) => AttemptEnd } = {
-  notSent: ({ message }) => ({ kind: 'failed', attempt: failAfter('notSent'), message, outcome: 'notSent' }),
-  noAnswer: ({ message }) => ({ kind: 'failed', attempt: failAfter('written', 'cut'), message, outcome: 'failed' }),
-  cancelled: () => ({ kind: 'failed', attempt: failAfter('written', 'cancelled'), message: 'cancelled' })
+  notSent: ({ message }) => ({ kind: 'failed', attempt: createFailedAttempt('notSent'), message, outcome: 'notSent' }),
+  noAnswer: ({ message }) => ({ kind: 'failed', attempt: createFailedAttempt('written', 'cut'), message, outcome: 'failed' }),
+  cancelled: () => ({ kind: 'failed', attempt: createFailedAttempt('written', 'cancelled'), message: 'cancelled' })
 }
 
 const describeSendFailure = (error: BackendError, watch: ReachabilityWatch): AttemptEnd => {
-  if (error.kind === 'cancelled' && watch.isLost()) return { kind: 'failed', attempt: failAfter('written', 'cut'), message: 'the backend server became unreachable', outcome: 'failed' }
+  if (error.kind === 'cancelled' && watch.isLost()) return { kind: 'failed', attempt: createFailedAttempt('written', 'cut'), message: 'the backend server became unreachable', outcome: 'failed' }
   const describe = sendFailures[error.kind] as (error: BackendError) => AttemptEnd
   return describe(error)
 }
@@ -36,12 +36,12 @@
  * request id. It is discarded, and its connection is closed, since the next
  * answer on it would be crossed too.
  */
-const isForeign = (context: RequestContext, answer: BackendAnswer): boolean =>
+const isCrossedAnswer = (context: RequestContext, answer: BackendAnswer): boolean =>
   answer.headers['x-request-id'] !== context.routed.request.requestId
 
-const refuseByBackend = (context: RequestContext, backendServer: BackendServer, reason: string): AttemptEnd => {
-  if (reason === LEAVING) context.dependencies.backendHealth.markLeaving(backendServer.name)
-  return { kind: 'failed', attempt: failAfter('written', 'refusedByBackend'), message: `${backendServer.name} refused: ${reason}`, outcome: 'refused' }
+const handleBackendRefusal = (context: RequestContext, backendServer: BackendServer, reason: string): AttemptEnd => {
+  if (reason === LEAVING_REASON) context.dependencies.backendHealth.markLeaving(backendServer.name)
+  return { kind: 'failed', attempt: createFailedAttempt('written', 'refusedByBackend'), message: `${backendServer.name} refused: ${reason}`, outcome: 'refused' }
 }
 
 const isModelStream = (context: RequestContext, answer: BackendAnswer): boolean =>
@@ -51,18 +51,18 @@
   const sent = await context.dependencies.backendClient.send(describeBackendRequest(context, backendServer), watch.signal)
   if (!sent.ok) return describeSendFailure(sent.error, watch)
   const answer = sent.value
-  if (isForeign(context, answer)) {
+  if (isCrossedAnswer(context, answer)) {
     answer.abort()
-    return { kind: 'failed', attempt: failAfter('written', 'crossedAnswer'), message: 'the answer belongs to another request', outcome: 'failed' }
+    return { kind: 'failed', attempt: createFailedAttempt('written', 'crossedAnswer'), message: 'the answer belongs to another request', outcome: 'failed' }
   }
   const notRun = answer.headers['x-not-run']
   if (answer.status === REFUSED_STATUS && notRun !== undefined) {
     answer.abort()
-    return refuseByBackend(context, backendServer, notRun)
+    return handleBackendRefusal(context, backendServer, notRun)
   }
-  if (UNAVAILABLE_STATUSES.has(answer.status) && mayRepeat(context)) {
+  if (UNAVAILABLE_STATUSES.has(answer.status) && isIdempotent(context)) {
     answer.abort()
-    return { kind: 'failed', attempt: failAfter('written', 'cut'), message: `${backendServer.name} answered ${answer.status}`, outcome: 'failed' }
+    return { kind: 'failed', attempt: createFailedAttempt('written', 'cut'), message: `${backendServer.name} answered ${answer.status}`, outcome: 'failed' }
   }
   return isModelStream(context, answer)
     ? await relayEvents(context, planner, backendServer, answer)
@@ -82,7 +82,7 @@
     .finally(() => timer.cancel())
 }
 
-const mayStillRun = (end: AttemptEnd): boolean =>
+const canStillRun = (end: AttemptEnd): boolean =>
   end.kind !== 'delivered' && end.attempt.execution === 'mayHaveRun'
 
 const readOutcome = (context: RequestContext, end: AttemptEnd): AttemptOutcome | undefined => {
@@ -100,7 +100,7 @@
     const outcome = readOutcome(context, end)
     metrics.count('attempts', { backend_server: backendServer.name, outcome: outcome ?? 'cancelled' })
     if (outcome !== undefined) backendHealth.recordAttempt(backendServer.name, outcome)
-    if (context.routed.serviceKind === 'model' && mayStillRun(end)) cancelOnEngine(context, backendServer)
+    if (context.routed.serviceKind === 'model' && canStillRun(end)) cancelOnEngine(context, backendServer)
     return end
   } finally {
     watch.stop()
--- a/src/services/dispatch/_lib/runAttempts.ts
+++ b/src/services/dispatch/_lib/runAttempts.ts
@@ -5,7 +5,7 @@
 import type { AttemptEnd } from './attemptEnd.js'
 import { createRetryPlanner, type RetryPlanner } from './createRetryPlanner.js'
 import type { TokenUsage } from './readTokenUsage.js'
-import { mayRepeat, type RequestContext } from './requestContext.js'
+import { isIdempotent, type RequestContext } from './requestContext.js'
 import { runAttempt } from './runAttempt.js'
 
 export type RequestResult =
@@ -15,7 +15,7 @@
 /** Backend server that served the chat last, and whether the hint came from the caller. */
 type Hint = { readonly backendServer?: string, readonly isFromCaller: boolean }
 
-const findHint = async ({ dependencies, hintAuthenticator, routed, scope }: RequestContext): Promise<Hint> => {
+const lookUpHint = async ({ dependencies, hintAuthenticator, routed, scope }: RequestContext): Promise<Hint> => {
   if (routed.serviceKind !== 'model') return { isFromCaller: false }
   const fromCaller = routed.hint === undefined
     ? undefined
@@ -27,16 +27,16 @@
 }
 
 /** Offers a retry only where it is safe: when the request did not run, or when it may run twice. */
-const refuse = (context: RequestContext, outcome: RefusalOutcome, reason: RefusalReason, message: string, comeBackAfterMs?: number): RequestResult => {
-  const isRepeatSafe = outcome === 'not-run' || mayRepeat(context)
-  const retryAfterMs = isRepeatSafe ? comeBackAfterMs ?? context.limits.comeBackAfterMs : undefined
+const refuse = (context: RequestContext, outcome: RefusalOutcome, reason: RefusalReason, message: string, suggestedRetryAfterMs?: number): RequestResult => {
+  const isRetrySafe = outcome === 'not-run' || isIdempotent(context)
+  const retryAfterMs = isRetrySafe ? suggestedRetryAfterMs ?? context.limits.defaultRetryAfterMs : undefined
   return { kind: 'refused', refusal: createRefusal(outcome, reason, message, retryAfterMs) }
 }
 
 /** Final refusal of a request that its caller or its deadline has ended. */
-const refuseEnded = (context: RequestContext, planner: RetryPlanner): RequestResult => {
+const refuseEndedRequest = (context: RequestContext, planner: RetryPlanner): RequestResult => {
   const outcome = planner.mayHaveRun() ? 'unknown' : 'not-run'
-  return context.scope.ended() === 'hungUp'
+  return context.scope.endCause() === 'hungUp'
     ? refuse(context, outcome, 'cancelled', 'the caller hung up')
     : refuse(context, outcome, 'deadline', 'the deadline has passed')
 }
@@ -61,15 +61,15 @@
 }
 
 /** Stores the server in the chat directory, unless the caller's own hint names it already. */
-const rememberServer = ({ dependencies, routed }: RequestContext, hint: Hint, backendServer: string): void => {
-  const isKnownToCaller = hint.isFromCaller && hint.backendServer === backendServer
-  if (routed.serviceKind === 'model' && !isKnownToCaller) dependencies.chatDirectory.store(routed.chatKey, backendServer)
+const storeServer = ({ dependencies, routed }: RequestContext, hint: Hint, backendServer: string): void => {
+  const isHintCurrent = hint.isFromCaller && hint.backendServer === backendServer
+  if (routed.serviceKind === 'model' && !isHintCurrent) dependencies.chatDirectory.store(routed.chatKey, backendServer)
 }
 
 /** Final refusal after a failed attempt; `undefined` once the delay before the next attempt has passed. */
-const settleFailure = async (context: RequestContext, planner: RetryPlanner, end: Exclude<AttemptEnd, { kind: 'delivered' }>): Promise<RequestResult | undefined> => {
+const handleFailure = async (context: RequestContext, planner: RetryPlanner, end: Exclude<AttemptEnd, { kind: 'delivered' }>): Promise<RequestResult | undefined> => {
   const { dependencies, scope, retryAllowance } = context
-  if (scope.signal.aborted) return refuseEnded(context, planner)
+  if (scope.signal.aborted) return refuseEndedRequest(context, planner)
   if (end.kind === 'callerLeft') return refuse(context, 'unknown', 'cancelled', 'the caller left')
   const plan = planner.plan(end.attempt)
   dependencies.metrics.count('retries', { decision: plan.kind })
@@ -78,7 +78,7 @@
     return refuse(context, outcome, reason, end.message)
   }
   retryAllowance.spend()
-  return await scope.wait(plan.delayMs) ? undefined : refuseEnded(context, planner)
+  return await scope.wait(plan.delayMs) ? undefined : refuseEndedRequest(context, planner)
 }
 
 /**
@@ -88,20 +88,20 @@
  */
 export const runAttempts = async (context: RequestContext): Promise<RequestResult> => {
   const planner = createRetryPlanner(context)
-  const hint = await findHint(context)
+  const hint = await lookUpHint(context)
   for (;;) {
-    if (context.scope.signal.aborted) return refuseEnded(context, planner)
+    if (context.scope.signal.aborted) return refuseEndedRequest(context, planner)
     const placement = choosePlacement(context, planner, hint)
     if (placement.kind === 'none') return refuseUnplaced(context, planner, placement)
     const { name } = placement.backendServer
     // The attempt is counted as load before other requests can run, or a burst would all choose the same server.
     const end = await runAttempt(context, planner, placement.backendServer)
     if (end.kind === 'delivered') {
-      rememberServer(context, hint, name)
+      storeServer(context, hint, name)
       return completeWith(end)
     }
     planner.recordFailure(end.attempt, name)
-    const settled = await settleFailure(context, planner, end)
-    if (settled !== undefined) return settled
+    const finalResult = await handleFailure(context, planner, end)
+    if (finalResult !== undefined) return finalResult
   }
 }
--- a/src/services/dispatch/_lib/runClaimed.ts
+++ b/src/services/dispatch/_lib/runClaimed.ts
@@ -5,7 +5,7 @@
  */
 import { createRefusal } from '../../../decisions/createRefusal/index.js'
 import type { ClaimKey, ClaimOutcome } from '../../../types/index.js'
-import { hashHex } from './createAuthenticator.js'
+import { hashHex } from './createHintAuthenticator.js'
 import type { RequestContext } from './requestContext.js'
 import { runAttempts, type RequestResult } from './runAttempts.js'
 
@@ -18,13 +18,13 @@
  * its own deadline. At the deadline itself it would be refused as "not-run",
  * although the request that it waits for may be running.
  */
-const JOIN_MARGIN_MS = 50
+const DUPLICATE_WAIT_MARGIN_MS = 50
 
 /** A refusal waits at most this long for the release of its claim, so that an immediate retry finds the key free. */
-const RELEASE_WAIT_MS = 250
+const MAXIMUM_RELEASE_WAIT_MS = 250
 
 const refuseUnsent = (context: RequestContext, reason: 'platformUnavailable' | 'deadline' | 'cancelled', message: string): RequestResult =>
-  ({ kind: 'refused', refusal: createRefusal('not-run', reason, message, context.limits.comeBackAfterMs) })
+  ({ kind: 'refused', refusal: createRefusal('not-run', reason, message, context.limits.defaultRetryAfterMs) })
 
 const release = ({ dependencies }: RequestContext, key: ClaimKey, claimId: string): Promise<void> =>
   dependencies.claims.release(key, claimId).catch((error: unknown) => {
@@ -39,7 +39,7 @@
 }
 
 /** Resolves after `promise` settles or after the delay. The wait is independent of the request deadline. */
-const waitAtMost = ({ dependencies }: RequestContext, promise: Promise<void>, delayMs: number): Promise<void> =>
+const waitWithLimit = ({ dependencies }: RequestContext, promise: Promise<void>, delayMs: number): Promise<void> =>
   new Promise((resolve) => {
     const timer = dependencies.clock.setTimer(delayMs, resolve)
     promise.finally(() => {
@@ -50,26 +50,26 @@
 
 const runGranted = async (context: RequestContext, key: ClaimKey, claimId: string): Promise<RequestResult> => {
   // The caller may request the answer again under the same key, so it is fetched even after a disconnect.
-  context.scope.outliveCaller()
+  context.scope.detachFromCaller()
   const result = await runAttempts(context)
   recordAnswer(context, key, claimId, result)
   const isUnsent = result.kind === 'refused' && result.refusal.outcome === 'not-run'
   const isUnknown = result.kind === 'refused' && !isUnsent
   // Duplicate requests that wait on this node for the answer would otherwise wait until their deadlines.
   if (isUnknown) context.dependencies.claims.recordUnknown?.(key, claimId)
-  if (isUnsent) await waitAtMost(context, release(context, key, claimId), RELEASE_WAIT_MS)
+  if (isUnsent) await waitWithLimit(context, release(context, key, claimId), MAXIMUM_RELEASE_WAIT_MS)
   return result
 }
 
 const handlers: Handlers = {
   granted: (context, key, { claimId }) => runGranted(context, key, claimId),
   answered: async (context, _key, { answer }) => {
-    context.reply.sendWhole(answer.status, { ...answer.headers, 'x-idempotent-replay': 'true' }, answer.body)
+    context.reply.sendComplete(answer.status, { ...answer.headers, 'x-idempotent-replay': 'true' }, answer.body)
     return { kind: 'complete' }
   },
   claimedElsewhere: async ({ limits }) => ({
     kind: 'refused',
-    refusal: createRefusal('unknown', 'claimedElsewhere', 'a request under this key was sent before; its outcome is not known here', limits.comeBackAfterMs)
+    refusal: createRefusal('unknown', 'claimedElsewhere', 'a request under this key was sent before; its outcome is not known here', limits.defaultRetryAfterMs)
   }),
   keyReused: async () => ({
     kind: 'refused',
@@ -88,12 +88,12 @@
   const key: ClaimKey = { clientAccount: routed.clientAccount.name, idempotencyKey }
   const { method, body } = routed.request
   const bodyHash = hashHex(JSON.stringify([method, routed.path]), '\n', body)
-  const claiming = dependencies.claims.claim(key, bodyHash, scope.deadlineAt - JOIN_MARGIN_MS)
+  const claiming = dependencies.claims.claim(key, bodyHash, scope.deadlineAt - DUPLICATE_WAIT_MARGIN_MS)
   const outcome = await scope.race(claiming)
   if (outcome === undefined) {
     // A claim that is granted after the request ended is released: nothing was sent under it.
     claiming.then((late) => late.kind === 'granted' ? release(context, key, late.claimId) : undefined, () => undefined)
-    const reason = scope.ended() === 'hungUp' ? 'cancelled' : 'deadline'
+    const reason = scope.endCause() === 'hungUp' ? 'cancelled' : 'deadline'
     return refuseUnsent(context, reason, 'ended before the request was claimed')
   }
   const handle = handlers[outcome.kind] as (context: RequestContext, key: ClaimKey, outcome: ClaimOutcome) => Promise<RequestResult>
--- a/src/services/dispatch/_lib/runRequest.ts
+++ b/src/services/dispatch/_lib/runRequest.ts
@@ -1,17 +1,17 @@
 /** Runs one routed request from admission to its final answer. */
 import { createRefusal } from '../../../decisions/createRefusal/index.js'
 import type { AdmissionDemand, Refusal, RefusalReason } from '../../../types/index.js'
-import type { RequestFate } from './createLedger.js'
+import type { RequestOutcome } from './createLedger.js'
 import type { TokenUsage } from './readTokenUsage.js'
 import type { RequestContext } from './requestContext.js'
 import { runAttempts, type RequestResult } from './runAttempts.js'
 import { runClaimed } from './runClaimed.js'
 
 /** Outcome of a finished request, as the ledger and the metrics record it. */
-export type RequestEnding = { readonly fate: RequestFate, readonly reason: RefusalReason | 'none' }
+export type RequestSummary = { readonly outcome: RequestOutcome, readonly reason: RefusalReason | 'none' }
 
-export const describeEnding = ({ outcome, reason }: Refusal): RequestEnding =>
-  ({ fate: outcome === 'not-run' ? 'refused' : 'unknown', reason })
+export const summarizeRefusal = ({ outcome, reason }: Refusal): RequestSummary =>
+  ({ outcome: outcome === 'not-run' ? 'refused' : 'unknown', reason })
 
 const describeDemand = ({ routed, scope }: RequestContext): AdmissionDemand => ({
   clientAccount: routed.clientAccount.name,
@@ -52,8 +52,8 @@
   if (admitted === undefined) {
     // Admitted after the request ended: the ticket is returned unused.
     admitting.then((late) => { if (late.ok) late.value.finish(0) }, () => undefined)
-    const reason = scope.ended() === 'hungUp' ? 'cancelled' : 'deadline'
-    return { kind: 'refused', refusal: createRefusal('not-run', reason, 'ended while it waited for its turn', limits.comeBackAfterMs) }
+    const reason = scope.endCause() === 'hungUp' ? 'cancelled' : 'deadline'
+    return { kind: 'refused', refusal: createRefusal('not-run', reason, 'ended while it waited for its turn', limits.defaultRetryAfterMs) }
   }
   if (!admitted.ok) {
     const { reason, retryAfterMs } = admitted.error
@@ -69,9 +69,9 @@
   }
 }
 
-export const runRequest = async (context: RequestContext): Promise<RequestEnding> => {
+export const runRequest = async (context: RequestContext): Promise<RequestSummary> => {
   const result = await runWithTicket(context)
-  if (result.kind === 'complete') return { fate: 'complete', reason: 'none' }
+  if (result.kind === 'complete') return { outcome: 'complete', reason: 'none' }
   context.reply.refuse(result.refusal)
-  return describeEnding(result.refusal)
+  return summarizeRefusal(result.refusal)
 }
--- a/src/services/dispatch/_lib/watchReachability.ts
+++ b/src/services/dispatch/_lib/watchReachability.ts
@@ -7,7 +7,7 @@
  * the request can still run on another server.
  */
 import type { BackendServer, Timer } from '../../../types/index.js'
-import { mayRepeat, type RequestContext } from './requestContext.js'
+import { isIdempotent, type RequestContext } from './requestContext.js'
 
 export type ReachabilityWatch = {
   /** Aborts with the request's scope, or when the backend server is unreachable. */
@@ -17,7 +17,7 @@
 }
 
 /** Consecutive failed checks, one interval apart, before an attempt is abandoned. */
-const CHECKS_TO_LOSE = 2
+const FAILED_CHECKS_UNTIL_LOST = 2
 
 export const isUnreachable = ({ dependencies }: RequestContext, backendServer: BackendServer): boolean =>
   dependencies.backendHealth.status(backendServer.name).state === 'unreachable'
@@ -25,18 +25,18 @@
 export const watchReachability = (context: RequestContext, backendServer: BackendServer): ReachabilityWatch => {
   const { dependencies, scope, reply, limits, reachabilityProbes } = context
   const lost = new AbortController()
-  let agreeing = 0
+  let failedChecks = 0
   let timer: Timer | undefined
 
   const check = (): void => {
     if (reply.hasStarted()) return
-    const isAway = isUnreachable(context, backendServer) || reachabilityProbes.check(backendServer)
-    agreeing = isAway ? agreeing + 1 : 0
-    if (agreeing >= CHECKS_TO_LOSE) lost.abort(new Error('the backend server became unreachable'))
+    const hasFailed = isUnreachable(context, backendServer) || reachabilityProbes.check(backendServer)
+    failedChecks = hasFailed ? failedChecks + 1 : 0
+    if (failedChecks >= FAILED_CHECKS_UNTIL_LOST) lost.abort(new Error('the backend server became unreachable'))
     else timer = dependencies.clock.setTimer(limits.reachabilityCheckMs, check)
   }
 
-  if (mayRepeat(context)) timer = dependencies.clock.setTimer(limits.reachabilityCheckMs, check)
+  if (isIdempotent(context)) timer = dependencies.clock.setTimer(limits.reachabilityCheckMs, check)
   return {
     signal: AbortSignal.any([scope.signal, lost.signal]),
     isLost: () => lost.signal.aborted,
--- a/src/services/dispatch/index.ts
+++ b/src/services/dispatch/index.ts
@@ -6,7 +6,7 @@
 import { createRefusal } from '../../decisions/createRefusal/index.js'
 import type { RunningService } from '../../kernel/index.js'
 import type { CallerAnswer, CallerRequest, Dispatch } from '../../types/index.js'
-import { createHintAuthenticator } from './_lib/createAuthenticator.js'
+import { createHintAuthenticator } from './_lib/createHintAuthenticator.js'
 import { createLedger } from './_lib/createLedger.js'
 import { createReachabilityProbes } from './_lib/createReachabilityProbes.js'
 import { createReply, type Reply } from './_lib/createReply.js'
@@ -16,7 +16,7 @@
 import { indexConfiguration, type ConfigurationIndex } from './_lib/indexConfiguration.js'
 import { authenticateCaller, MODELS_PATH, readRoutedRequest, type RoutedRequest } from './_lib/readRoutedRequest.js'
 import type { DispatchDependencies, DispatchLimits, RequestContext } from './_lib/requestContext.js'
-import { describeEnding, runRequest, type RequestEnding } from './_lib/runRequest.js'
+import { summarizeRefusal, runRequest, type RequestSummary } from './_lib/runRequest.js'
 
 export type { DispatchDependencies } from './_lib/requestContext.js'
 
@@ -34,7 +34,7 @@
   maximumDelayMs: 1_000,
   answerBufferBytes: 8_388_608,
   reachabilityCheckMs: 1_000,
-  comeBackAfterMs: 1_000
+  defaultRetryAfterMs: 1_000
 }
 
 const isModelList = (request: CallerRequest): boolean =>
@@ -64,7 +64,7 @@
   const reachabilityProbes = createReachabilityProbes(clock, dependencies.backendClient, limits.reachabilityCheckMs)
   const ledger = createLedger(dependencies.clock)
 
-  const run = async (routed: RoutedRequest, callerSignal: AbortSignal, reply: Reply): Promise<RequestEnding> => {
+  const run = async (routed: RoutedRequest, callerSignal: AbortSignal, reply: Reply): Promise<RequestSummary> => {
     const scope = createRequestScope(dependencies.clock, routed.deadlineMs, callerSignal)
     const context: RequestContext = { dependencies, limits, hintAuthenticator, retryAllowance, reachabilityProbes, routed, scope, reply }
     try {
@@ -74,31 +74,31 @@
       dependencies.logger.error('a request failed inside the router', { requestId: routed.request.requestId, error: String(error) })
       const refusal = createRefusal('unknown', 'backendFailed', 'the router failed')
       reply.refuse(refusal)
-      return describeEnding(refusal)
+      return summarizeRefusal(refusal)
     } finally {
       scope.close()
     }
   }
 
-  const accept = (): ((ending: RequestEnding) => void) => {
+  const openRequest = (): ((summary: RequestSummary) => void) => {
     const settle = ledger.open()
     const startedAt = clock.now()
     metrics.count('requests_accepted')
-    return ({ fate, reason }) => {
-      settle(fate)
-      metrics.count('requests_finished', { outcome: fate, reason })
-      metrics.observe('request_duration_seconds', (clock.now() - startedAt) / 1_000, { outcome: fate })
+    return ({ outcome, reason }) => {
+      settle(outcome)
+      metrics.count('requests_finished', { outcome, reason })
+      metrics.observe('request_duration_seconds', (clock.now() - startedAt) / 1_000, { outcome })
     }
   }
 
-  const answerIndexed = (index: ConfigurationIndex, request: CallerRequest, callerSignal: AbortSignal, finish: (ending: RequestEnding) => void): CallerAnswer | Promise<CallerAnswer> => {
+  const handleWithIndex = (index: ConfigurationIndex, request: CallerRequest, callerSignal: AbortSignal, finish: (summary: RequestSummary) => void): CallerAnswer | Promise<CallerAnswer> => {
     if (isModelList(request) && authenticateCaller(index, request) !== undefined) {
-      finish({ fate: 'complete', reason: 'none' })
+      finish({ outcome: 'complete', reason: 'none' })
       return describeModels(index)
     }
     const routed = readRoutedRequest(index, request)
     if (!routed.ok) {
-      finish(describeEnding(routed.error))
+      finish(summarizeRefusal(routed.error))
       return { kind: 'refused', refusal: routed.error }
     }
     const reply = createReply()
@@ -107,11 +107,11 @@
   }
 
   const handle: Dispatch['handle'] = async (request, signal) => {
-    const finish = accept()
+    const finish = openRequest()
     const configuration = dependencies.configuration.current()
-    if (configuration !== undefined) return await answerIndexed(indexConfiguration(configuration), request, signal, finish)
-    const refusal = createRefusal('not-run', 'noConfiguration', 'no configuration is in force here yet', limits.comeBackAfterMs)
-    finish(describeEnding(refusal))
+    if (configuration !== undefined) return await handleWithIndex(indexConfiguration(configuration), request, signal, finish)
+    const refusal = createRefusal('not-run', 'noConfiguration', 'no configuration is in force here yet', limits.defaultRetryAfterMs)
+    finish(summarizeRefusal(refusal))
     return { kind: 'refused', refusal }
   }
 
--- a/src/services/dispatch/test.ts
+++ b/src/services/dispatch/test.ts
@@ -18,21 +18,21 @@
 const CUT: BackendBodyPart = { kind: 'cut', message: 'cut' }
 const bytes = (text: string): BackendBodyPart => ({ kind: 'data', bytes: Buffer.from(text) })
 
-const answerWith = (request: BackendRequest, status: number, headers: Headers, ...parts: readonly BackendBodyPart[]): Result<BackendAnswer, BackendError> =>
+const createAnswer = (request: BackendRequest, status: number, headers: Headers, ...parts: readonly BackendBodyPart[]): Result<BackendAnswer, BackendError> =>
   success({ status, headers: { 'x-request-id': request.requestId, ...headers }, body: bodyOf(...parts), abort: () => {} })
 
 const faults: { readonly [Name in Fault]: (request: BackendRequest, hangUp: () => void) => Result<BackendAnswer, BackendError> } = {
   notSent: () => failure({ kind: 'notSent', message: 'refused' }),
   noAnswer: () => failure({ kind: 'noAnswer', message: 'reset' }),
-  refused: (request) => answerWith(request, 503, { 'x-not-run': 'overloaded' }, END),
-  crossed: (request) => answerWith(request, 200, { 'x-request-id': 'another' }, bytes('{}'), END),
-  cut: (request) => answerWith(request, 200, {}, bytes('{'), CUT),
-  broken: (request) => answerWith(request, 502, {}, bytes('{}'), END),
+  refused: (request) => createAnswer(request, 503, { 'x-not-run': 'overloaded' }, END),
+  crossed: (request) => createAnswer(request, 200, { 'x-request-id': 'another' }, bytes('{}'), END),
+  cut: (request) => createAnswer(request, 200, {}, bytes('{'), CUT),
+  broken: (request) => createAnswer(request, 502, {}, bytes('{}'), END),
   hangUp: (_request, hangUp) => {
     hangUp()
     return failure({ kind: 'cancelled' })
   },
-  whole: (request) => answerWith(request, 200, {}, bytes('{}'), END)
+  whole: (request) => createAnswer(request, 200, {}, bytes('{}'), END)
 }
 
 /** A client that injects the listed faults in order; after the last one every send is answered. */
@@ -54,7 +54,7 @@
 }
 
 /** A client that withholds its answer until `answerNow` is called, and is cancelled by its signal. */
-const createHeldClient = (): { readonly client: BackendClient, readonly answerNow: () => boolean } => {
+const createDeferredClient = (): { readonly client: BackendClient, readonly answerNow: () => boolean } => {
   let settle: (() => void) | undefined
   const { client } = createFaultyClient([], () => {})
   return {
@@ -83,15 +83,15 @@
   body: Buffer.from(JSON.stringify({ model: MODEL, messages: [{ role: 'user', content: 'u' }, ...(isReturning ? [{ role: 'assistant', content: 'a' }] : [])] }))
 })
 
-const never = new AbortController().signal
+const neverAborted = new AbortController().signal
 
 const run = async (script: readonly Fault[], request: CallerRequest, options: Partial<HarnessOptions> = {}) => {
   const controller = new AbortController()
   const { client, sent } = createFaultyClient(script, () => controller.abort())
-  const setting = createTestDispatch({ origins: ['http://a', 'http://b', 'http://c', 'http://d'], backendClient: client, dispatch: { baseDelayMs: 0 }, ...options })
-  const answer = await setting.dispatch.handle(request, controller.signal)
-  await setting.dispatch.whenIdle()
-  return { ...setting, sent, answer }
+  const harness = createTestDispatch({ origins: ['http://a', 'http://b', 'http://c', 'http://d'], backendClient: client, dispatch: { baseDelayMs: 0 }, ...options })
+  const answer = await harness.dispatch.handle(request, controller.signal)
+  await harness.dispatch.whenIdle()
+  return { ...harness, sent, answer }
 }
 
 const readRefusal = (answer: CallerAnswer) => answer.kind === 'refused' ? answer.refusal : undefined
@@ -201,7 +201,7 @@
    * answer of the first order, so that answer is fetched and stored although nobody waits for it.
    */
   it('completes an order whose caller disconnects, and stores the answer', async () => {
-    const { client, answerNow } = createHeldClient()
+    const { client, answerNow } = createDeferredClient()
     const controller = new AbortController()
     const { dispatch, recorded } = createTestDispatch({ origins: ['http://a'], backendClient: client })
     const handled = dispatch.handle(createOrder(), controller.signal)
@@ -214,7 +214,7 @@
   })
 
   it('ends a lookup at once when its caller disconnects', async () => {
-    const { client } = createHeldClient()
+    const { client } = createDeferredClient()
     const controller = new AbortController()
     const { dispatch, recorded } = createTestDispatch({ origins: ['http://a'], backendClient: client })
     const handled = dispatch.handle(createRequest(), controller.signal)
@@ -234,7 +234,7 @@
       }
     }
     const { api } = createDispatch({ ...dependencies, claims, clock: { ...dependencies.clock, now: () => 1_000 } }, { fleetKey: 'f', retryShare: 0, maximumAttempts: 1 })
-    await api.handle({ ...createOrder(), headers: { 'idempotency-key': 'k', 'x-deadline-ms': '500' } }, never)
+    await api.handle({ ...createOrder(), headers: { 'idempotency-key': 'k', 'x-deadline-ms': '500' } }, neverAborted)
     expect(waits[0]).toBeLessThan(1_500)
     expect(waits[0]).toBeGreaterThan(1_400)
   })
@@ -242,7 +242,7 @@
   it('limits retries to the budget when every server fails', async () => {
     const { client, sent } = createFaultyClient(Array.from({ length: 1_000 }, () => 'notSent'), () => {})
     const { dispatch } = createTestDispatch({ origins: ['http://a', 'http://b', 'http://c'], backendClient: client, dispatch: { baseDelayMs: 0 } })
-    for (let request = 0; request < 100; request += 1) await dispatch.handle(createRequest(), never)
+    for (let request = 0; request < 100; request += 1) await dispatch.handle(createRequest(), neverAborted)
     const retries = sent.length - 100
     expect(retries).toBeLessThanOrEqual(20 + 10)
   })
--- a/src/services/fleetLoad/_lib/createServerIndex.ts
+++ b/src/services/fleetLoad/_lib/createServerIndex.ts
@@ -13,8 +13,8 @@
 }
 
 /** The counts of this many servers fit one packet, so a message for each zone would only cause more wake-ups at the receivers. */
-const SERVERS_OF_ONE_GROUP = 256
-const ONLY_GROUP = ''
+const MAXIMUM_SERVERS_IN_SINGLE_GROUP = 256
+const SINGLE_GROUP_NAME = ''
 
 /**
  * Creates the index of backend servers.
@@ -30,7 +30,7 @@
   const update = (servers: readonly NamedServer[]): void => {
     const hashed = servers.map(({ name, availabilityZone }) => ({ name, availabilityZone, hash: hashes.get(name) ?? hashText(name) }))
     hashes = new Map(hashed.map(({ name, hash }) => [name, hash]))
-    groups = groupBy(hashed, (server) => hashed.length <= SERVERS_OF_ONE_GROUP ? ONLY_GROUP : server.availabilityZone)
+    groups = groupBy(hashed, (server) => hashed.length <= MAXIMUM_SERVERS_IN_SINGLE_GROUP ? SINGLE_GROUP_NAME : server.availabilityZone)
     indexed = servers
   }
 
--- a/src/services/fleetLoad/_lib/createSnapshotStore.ts
+++ b/src/services/fleetLoad/_lib/createSnapshotStore.ts
@@ -12,14 +12,14 @@
   /** Number of sources, including expired ones that the next sum removes. */
   readonly size: () => number
   /** Number of sources that were received since the last sum. */
-  readonly newSources: () => number
+  readonly countNewSources: () => number
 }
 
 type Entry = { readonly snapshot: LoadSnapshot, readonly counts: ReadonlyMap<number, number>, readonly at: number }
 
 export const createSnapshotStore = (maximumAgeMs: number): SnapshotStore => {
   const entries = new Map<string, Entry>()
-  const heard = new Set<string>()
+  const receivedSources = new Set<string>()
 
   const isOutdated = (entry: Entry | undefined, snapshot: LoadSnapshot): boolean =>
     entry !== undefined && entry.snapshot.nodeId === snapshot.nodeId && entry.snapshot.sequence >= snapshot.sequence
@@ -27,12 +27,12 @@
   return {
     put: (snapshot, now) => {
       if (isOutdated(entries.get(snapshot.source), snapshot)) return false
-      heard.add(snapshot.source)
+      receivedSources.add(snapshot.source)
       entries.set(snapshot.source, { snapshot, counts: unpackLoadCounts(snapshot), at: now })
       return true
     },
     sum: (now) => {
-      heard.clear()
+      receivedSources.clear()
       const sums = new Map<number, number>()
       for (const [source, { counts, at }] of entries) {
         if (now - at > maximumAgeMs) {
@@ -44,6 +44,6 @@
       return sums
     },
     size: () => entries.size,
-    newSources: () => heard.size
+    countNewSources: () => receivedSources.size
   }
 }
--- a/src/services/fleetLoad/_lib/createZoneRanks.ts
+++ b/src/services/fleetLoad/_lib/createZoneRanking.ts
@@ -8,13 +8,13 @@
 import { groupBy } from '../../../kernel/groupBy/index.js'
 import type { Member, Membership } from '../../../types/index.js'
 
-export type ZoneRanks = {
+export type ZoneRanking = {
   /** Routers of a zone, ranked for a group of servers. */
   readonly rank: (routerZone: string, group: string) => readonly Member[]
   readonly zones: () => readonly string[]
 }
 
-export const createZoneRanks = (membership: Pick<Membership, 'liveMembers' | 'onChange'>): ZoneRanks => {
+export const createZoneRanking = (membership: Pick<Membership, 'liveMembers' | 'onChange'>): ZoneRanking => {
   let byZone: ReadonlyMap<string, readonly Member[]> | undefined
   let ranks = new Map<string, readonly Member[]>()
 
--- a/src/services/fleetLoad/index.ts
+++ b/src/services/fleetLoad/index.ts
@@ -9,7 +9,7 @@
 import type { NamedServer } from './_lib/createServerIndex.js'
 import { createSnapshotStore } from './_lib/createSnapshotStore.js'
 import type { SnapshotStore } from './_lib/createSnapshotStore.js'
-import { createZoneRanks } from './_lib/createZoneRanks.js'
+import { createZoneRanking } from './_lib/createZoneRanking.js'
 import { selectForwardTargets } from '../../decisions/selectForwardTargets/index.js'
 import { packLoadCounts, unpackLoadCounts } from '../../decisions/packLoadCounts/index.js'
 import type { RunningService } from '../../kernel/index.js'
@@ -19,7 +19,7 @@
 
 export type FleetLoad = {
   /** Whether the fleet is large enough to use aggregation instead of digests to all peers. */
-  readonly isInUse: () => boolean
+  readonly isActive: () => boolean
   /** Requests in flight from other routers; 0 before the first snapshot or after the last one has expired. */
   readonly readOthers: (backendServer: string) => number
   readonly onChange: (listener: (backendServer: string) => void) => void
@@ -44,10 +44,10 @@
   readonly fanOut?: number
 }
 
-type Others = { readonly at: number, readonly inFlight: number }
+type OthersLoad = { readonly at: number, readonly inFlight: number }
 
-const SHORTEST_PERIOD_MS = 250
-const LONGEST_PERIOD_MS = 1000
+const MINIMUM_PERIOD_MS = 250
+const MAXIMUM_PERIOD_MS = 1000
 /** The size of a snapshot grows with the number of servers, and so does the period, so that bytes per second stay constant. */
 const PERIOD_PER_SERVER_MS = 6
 const DEFAULT_FAN_OUT = 2
@@ -57,7 +57,7 @@
  * Latest start of each stage, as a fraction of the period by wall time. A sum is computed as soon as all its
  * inputs have arrived; at this time it no longer waits for a source that is slow or dead.
  */
-const STAGES = { node: 0, zone: 0.3, fleet: 0.6 }
+const STAGE_STARTS = { node: 0, zone: 0.3, fleet: 0.6 }
 
 /**
  * Creates the load exchange of one node for a large fleet.
@@ -78,13 +78,13 @@
 export const createFleetLoad = (dependencies: FleetLoadDependencies, options: FleetLoadOptions): RunningService<FleetLoad> => {
   const { clock, transport, membership } = dependencies
   const fanOut = options.fanOut ?? DEFAULT_FAN_OUT
-  const maximumAgeMs = MAXIMUM_AGE_PERIODS * (options.periodMs ?? LONGEST_PERIOD_MS)
-  const ranks = createZoneRanks(membership)
-  const index = createServerIndex(dependencies.readServers)
+  const maximumAgeMs = MAXIMUM_AGE_PERIODS * (options.periodMs ?? MAXIMUM_PERIOD_MS)
+  const zoneRanking = createZoneRanking(membership)
+  const serverIndex = createServerIndex(dependencies.readServers)
   const stores: Readonly<Record<'node' | 'zone', Map<string, SnapshotStore>>> = { node: new Map(), zone: new Map() }
   /** Groups whose sum of this period was published before the latest start of its stage, by the scope of the inputs. */
-  const early: Readonly<Record<'node' | 'zone', Set<string>>> = { node: new Set(), zone: new Set() }
-  const othersByServer = new Map<string, Others>()
+  const publishedEarly: Readonly<Record<'node' | 'zone', Set<string>>> = { node: new Set(), zone: new Set() }
+  const othersByServer = new Map<string, OthersLoad>()
   const listeners: ((backendServer: string) => void)[] = []
   const timers = new Map<string, Timer>()
   let lastSent: ReadonlyMap<string, number> = new Map()
@@ -94,16 +94,16 @@
   let isLarge: boolean | undefined
   membership.onChange(() => { isLarge = undefined })
 
-  const isInUse = (): boolean => {
+  const isActive = (): boolean => {
     isLarge ??= membership.liveMembers().length - 1 > options.fullMeshPeers
     return isLarge
   }
 
   // Equal on all routers that know the same number of servers, so that their stages are synchronised.
   const findPeriodMs = (): number =>
-    options.periodMs ?? Math.min(LONGEST_PERIOD_MS, Math.max(SHORTEST_PERIOD_MS, index.size() * PERIOD_PER_SERVER_MS))
+    options.periodMs ?? Math.min(MAXIMUM_PERIOD_MS, Math.max(MINIMUM_PERIOD_MS, serverIndex.size() * PERIOD_PER_SERVER_MS))
 
-  const ownZone = (): string => membership.self().availabilityZone
+  const readOwnZone = (): string => membership.self().availabilityZone
 
   const isSelf = (member: Member | undefined): boolean => member?.nodeId === membership.self().nodeId
 
@@ -115,7 +115,7 @@
     return store
   }
 
-  const listToldGroups = (scope: 'node' | 'zone'): readonly string[] =>
+  const listReceivedGroups = (scope: 'node' | 'zone'): readonly string[] =>
     [...stores[scope]].filter(([, store]) => store.size() > 0).map(([group]) => group)
 
   const createSnapshot = (scope: LoadSnapshot['scope'], source: string, group: string, counts: ReadonlyMap<number, number>): LoadSnapshot => {
@@ -124,59 +124,59 @@
     return { scope, source, nodeId, group, sequence, ...packLoadCounts(counts) }
   }
 
-  const sendOrTake = (receiver: Member | undefined, snapshot: LoadSnapshot): void => {
+  const deliver = (receiver: Member | undefined, snapshot: LoadSnapshot): void => {
     if (receiver === undefined) return
-    if (isSelf(receiver)) return take(snapshot)
+    if (isSelf(receiver)) return applySnapshot(snapshot)
     transport.send(receiver.address, { kind: 'loadSnapshot', snapshot })
   }
 
   const publishNode = (): void => {
     const counts = dependencies.readCounts()
     lastSent = new Map(counts)
-    for (const [group, servers] of index.groups()) {
+    for (const [group, servers] of serverIndex.groups()) {
       const loaded = servers.filter(({ name }) => (counts.get(name) ?? 0) > 0)
       const byHash = new Map(loaded.map(({ hash, name }) => [hash, counts.get(name) ?? 0]))
-      sendOrTake(ranks.rank(ownZone(), group)[0], createSnapshot('node', membership.self().nodeId, group, byHash))
+      deliver(zoneRanking.rank(readOwnZone(), group)[0], createSnapshot('node', membership.self().nodeId, group, byHash))
     }
   }
 
   /** Groups that this router sums, including groups whose servers only other routers know. */
   const listSummedGroups = (): readonly string[] => {
-    const groups = new Set([...index.groups().keys(), ...listToldGroups('node'), ...listToldGroups('zone')])
-    return [...groups].filter((group) => isSelf(ranks.rank(ownZone(), group)[0]))
+    const groups = new Set([...serverIndex.groups().keys(), ...listReceivedGroups('node'), ...listReceivedGroups('zone')])
+    return [...groups].filter((group) => isSelf(zoneRanking.rank(readOwnZone(), group)[0]))
   }
 
   const publishZoneSum = (group: string): void => {
-    const snapshot = createSnapshot('zone', ownZone(), group, findStore('node', group).sum(clock.now()))
-    for (const routerZone of ranks.zones()) sendOrTake(ranks.rank(routerZone, group)[0], snapshot)
+    const snapshot = createSnapshot('zone', readOwnZone(), group, findStore('node', group).sum(clock.now()))
+    for (const routerZone of zoneRanking.zones()) deliver(zoneRanking.rank(routerZone, group)[0], snapshot)
   }
 
   const publishFleetSum = (group: string): void => {
-    take(createSnapshot('fleet', ownZone(), group, findStore('zone', group).sum(clock.now())))
+    applySnapshot(createSnapshot('fleet', readOwnZone(), group, findStore('zone', group).sum(clock.now())))
   }
 
   /** Publishes the sums that were not published early in this period. */
-  const publishRest = (scope: 'node' | 'zone', publish: (group: string) => void): void => {
-    for (const group of listSummedGroups()) if (!early[scope].delete(group)) publish(group)
+  const publishRemaining = (scope: 'node' | 'zone', publish: (group: string) => void): void => {
+    for (const group of listSummedGroups()) if (!publishedEarly[scope].delete(group)) publish(group)
   }
 
   const publishEarly = (scope: 'node' | 'zone', group: string, sources: number, publish: (group: string) => void): void => {
-    if (findStore(scope, group).newSources() < sources || !isInUse() || !isSelf(ranks.rank(ownZone(), group)[0])) return
-    early[scope].add(group)
+    if (findStore(scope, group).countNewSources() < sources || !isActive() || !isSelf(zoneRanking.rank(readOwnZone(), group)[0])) return
+    publishedEarly[scope].add(group)
     publish(group)
   }
 
   const forward = (snapshot: LoadSnapshot): void => {
-    const ranked = ranks.rank(ownZone(), snapshot.group)
+    const ranked = zoneRanking.rank(readOwnZone(), snapshot.group)
     const self = ranked.find(isSelf)
     if (self === undefined) return
     for (const receiver of selectForwardTargets(ranked, self, fanOut)) transport.send(receiver.address, { kind: 'loadSnapshot', snapshot })
   }
 
-  const takeFleet = (snapshot: LoadSnapshot): void => {
-    if (ranks.rank(ownZone(), snapshot.group)[0]?.nodeId !== snapshot.nodeId) return
+  const applyFleetTotal = (snapshot: LoadSnapshot): void => {
+    if (zoneRanking.rank(readOwnZone(), snapshot.group)[0]?.nodeId !== snapshot.nodeId) return
     const counts = unpackLoadCounts(snapshot)
-    for (const { name, hash } of index.groups().get(snapshot.group) ?? []) {
+    for (const { name, hash } of serverIndex.groups().get(snapshot.group) ?? []) {
       // The total includes the counts that this node sent last; only the rest belongs to others.
       const inFlight = Math.max(0, (counts.get(hash) ?? 0) - (lastSent.get(name) ?? 0))
       othersByServer.set(name, { at: clock.now(), inFlight })
@@ -185,32 +185,32 @@
     forward(snapshot)
   }
 
-  const takers: Readonly<Record<LoadSnapshot['scope'], (snapshot: LoadSnapshot) => void>> = {
+  const snapshotHandlers: Readonly<Record<LoadSnapshot['scope'], (snapshot: LoadSnapshot) => void>> = {
     node: (snapshot) => {
       findStore('node', snapshot.group).put(snapshot, clock.now())
-      publishEarly('node', snapshot.group, ranks.rank(ownZone(), snapshot.group).length, publishZoneSum)
+      publishEarly('node', snapshot.group, zoneRanking.rank(readOwnZone(), snapshot.group).length, publishZoneSum)
     },
     zone: (snapshot) => {
       findStore('zone', snapshot.group).put(snapshot, clock.now())
-      publishEarly('zone', snapshot.group, ranks.zones().length, publishFleetSum)
+      publishEarly('zone', snapshot.group, zoneRanking.zones().length, publishFleetSum)
     },
-    fleet: takeFleet
+    fleet: applyFleetTotal
   }
 
-  const take = (snapshot: LoadSnapshot): void => takers[snapshot.scope](snapshot)
+  const applySnapshot = (snapshot: LoadSnapshot): void => snapshotHandlers[snapshot.scope](snapshot)
 
-  const schedule = (stage: keyof typeof STAGES, publish: () => void): void => {
+  const schedule = (stage: keyof typeof STAGE_STARTS, publish: () => void): void => {
     const periodMs = findPeriodMs()
-    const phase = (clock.wallTime() - STAGES[stage] * periodMs) % periodMs
+    const phase = (clock.wallTime() - STAGE_STARTS[stage] * periodMs) % periodMs
     timers.set(stage, clock.setTimer(periodMs - phase, () => {
-      if (isInUse()) publish()
+      if (isActive()) publish()
       schedule(stage, publish)
     }))
   }
 
   return {
     api: {
-      isInUse,
+      isActive,
       readOthers: (backendServer) => {
         const others = othersByServer.get(backendServer)
         return others === undefined || clock.now() - others.at > maximumAgeMs ? 0 : others.inFlight
@@ -219,12 +219,12 @@
     },
     start: () => {
       transport.handle('loadSnapshot', ({ snapshot }) => {
-        take(snapshot)
+        applySnapshot(snapshot)
         return { kind: 'none' }
       })
       schedule('node', publishNode)
-      schedule('zone', () => publishRest('node', publishZoneSum))
-      schedule('fleet', () => publishRest('zone', publishFleetSum))
+      schedule('zone', () => publishRemaining('node', publishZoneSum))
+      schedule('fleet', () => publishRemaining('zone', publishFleetSum))
     },
     stop: () => { for (const timer of timers.values()) timer.cancel() }
   }
--- a/src/services/fleetLoad/test.ts
+++ b/src/services/fleetLoad/test.ts
@@ -67,7 +67,7 @@
     const { clock, nodes, readAll } = createFleet(3)
     for (const { counts } of nodes) counts.set('engine-0', 5)
     await clock.advanceAndSettle(SETTLE_MS)
-    expect(nodes[0]!.fleetLoad.isInUse()).toBe(false)
+    expect(nodes[0]!.fleetLoad.isActive()).toBe(false)
     expect(new Set(readAll('engine-0'))).toEqual(new Set([0]))
   })
 
--- a/src/services/forwarding/_lib/chooseInstance.test.ts
+++ b/src/services/forwarding/_lib/chooseInstance.test.ts
@@ -40,7 +40,7 @@
       onChange: () => {}
     },
     health: { began: () => {}, ended: () => {}, heard: () => {}, record: () => {}, isHeld: ({ id }) => servers[id]?.isHeld === true, silentMs: () => 0, compareWith: () => () => 1, retain: () => {} },
-    directory: { record: () => {}, listKept: () => new Map([['keeper@1', 8_000]]), onLearnt: () => {} },
+    directory: { record: () => {}, listCachedTokens: () => new Map([['keeper@1', 8_000]]), onRecovered: () => {} },
     loadView: { recordStart: () => {}, recordEnd: () => {}, estimateInFlight: (key) => servers[key.split('@')[0]!]?.load ?? 0, ownInFlight: () => 0, applyReport: () => {} },
     random: { next: () => 0.5, nextId: () => 'id' },
     zoneDrains: { isDrained: (zone) => zone === 'drained', isKnown: () => true, revision: () => 0, onChange: () => {} },
--- a/src/services/forwarding/_lib/chooseInstance.ts
+++ b/src/services/forwarding/_lib/chooseInstance.ts
@@ -113,7 +113,7 @@
   const usable = listUsable(dependencies, choice)
   // The last part is unique to the request and can't be cached.
   const shared = request.promptParts.slice(0, -1)
-  const kept = directory.listKept(shared)
+  const kept = directory.listCachedTokens(shared)
   const handicapOf = health.compareWith(usable)
   const candidates: readonly InstanceCandidate[] = usable.map((instance) => ({
     id: instance.id,
--- a/src/services/forwarding/test.ts
+++ b/src/services/forwarding/test.ts
@@ -75,7 +75,7 @@
       onChange: () => {}
     },
     health: { began: () => {}, ended: () => {}, heard: () => {}, record: () => {}, isHeld: () => false, silentMs: () => 0, compareWith: () => () => 1, retain: () => {} },
-    directory: { record: () => {}, listKept: () => new Map(), onLearnt: () => {} },
+    directory: { record: () => {}, listCachedTokens: () => new Map(), onRecovered: () => {} },
     loadView: { recordStart: () => {}, recordEnd: () => {}, estimateInFlight: () => 0, ownInFlight: () => 0, applyReport: () => {} },
     membership: { members: () => [MEMBER] },
     zoneDrains: { isDrained: () => false, isKnown: () => true, revision: () => 0, onChange: () => {} },
--- a/src/services/loadView/_lib/createLoadBroadcast.ts
+++ b/src/services/loadView/_lib/createLoadBroadcast.ts
@@ -18,16 +18,16 @@
 
 export type LoadBroadcast = {
   /** Schedules a broadcast of the counts. */
-  readonly noteChange: () => void
+  readonly scheduleBroadcast: () => void
   readonly sendFull: (receiver: Member) => void
   /** Sequence number of the last broadcast; peers use it to detect missed broadcasts. */
   readonly sequence: () => number
 }
 
 /** Changes within this time are sent together. */
-const GATHER_MS = 20
+const BATCH_MS = 20
 /** Maximum unused budget that accumulates, in milliseconds of sending. */
-const BURST_MS = 500
+const MAXIMUM_SAVED_BUDGET_MS = 500
 const MS_PER_SECOND = 1000
 /** Bytes of a digest without counts, including 40 for TCP and IP headers, and bytes of one count. */
 const DIGEST_BYTES = 90
@@ -42,7 +42,7 @@
   let timer: Timer | undefined
 
   const spend = (bytes: number): void => {
-    availableAt = Math.max(availableAt, clock.now() - BURST_MS) + bytes / bytesPerMs
+    availableAt = Math.max(availableAt, clock.now() - MAXIMUM_SAVED_BUDGET_MS) + bytes / bytesPerMs
   }
 
   const broadcast = (): void => {
@@ -58,8 +58,8 @@
   }
 
   return {
-    noteChange: () => {
-      timer ??= clock.setTimer(Math.max(GATHER_MS, availableAt - clock.now()), broadcast)
+    scheduleBroadcast: () => {
+      timer ??= clock.setTimer(Math.max(BATCH_MS, availableAt - clock.now()), broadcast)
     },
     // Sends the counts of the last broadcast, not the current ones: a count that has changed since then
     // and changes back would be in no later broadcast.
--- a/src/services/loadView/_lib/createPeerCounts.ts
+++ b/src/services/loadView/_lib/createPeerCounts.ts
@@ -10,10 +10,10 @@
   readonly sum: (backendServer: string) => number
   readonly apply: (digest: LoadDigest) => void
   /** Whether counts of this source are missing, given the sequence number of its last digest. */
-  readonly lacks: (source: string, sequence: number) => boolean
+  readonly isBehind: (source: string, sequence: number) => boolean
   /** Whether the record of this source has a higher sequence number than its last digest. */
   readonly isAhead: (source: string, sequence: number) => boolean
-  readonly forget: (source: string) => void
+  readonly remove: (source: string) => void
   readonly sources: () => readonly string[]
 }
 
@@ -22,7 +22,7 @@
   const records = new Map<string, LoadRecord>()
   const sums = new Map<string, number>()
 
-  const shift = (backendServer: string, difference: number): void => {
+  const adjustSum = (backendServer: string, difference: number): void => {
     if (difference === 0) return
     const sum = (sums.get(backendServer) ?? 0) + difference
     if (sum === 0) sums.delete(backendServer)
@@ -30,9 +30,9 @@
     onChange(backendServer)
   }
 
-  const replace = (before: LoadRecord['counts'], after: LoadRecord['counts']): void => {
-    for (const [backendServer, inFlight] of after) shift(backendServer, inFlight - (before.get(backendServer) ?? 0))
-    for (const [backendServer, inFlight] of before) if (!after.has(backendServer)) shift(backendServer, -inFlight)
+  const replaceCounts = (before: LoadRecord['counts'], after: LoadRecord['counts']): void => {
+    for (const [backendServer, inFlight] of after) adjustSum(backendServer, inFlight - (before.get(backendServer) ?? 0))
+    for (const [backendServer, inFlight] of before) if (!after.has(backendServer)) adjustSum(backendServer, -inFlight)
   }
 
   return {
@@ -42,15 +42,15 @@
       const merged = mergeLoadDigest(known, digest)
       if (merged === known) return
       records.set(digest.source, merged)
-      replace(known?.counts ?? new Map(), merged.counts)
+      replaceCounts(known?.counts ?? new Map(), merged.counts)
     },
-    lacks: (source, sequence) => {
+    isBehind: (source, sequence) => {
       const record = records.get(source)
       return record === undefined || record.hasGap || record.sequence < sequence
     },
     isAhead: (source, sequence) => (records.get(source)?.sequence ?? 0) > sequence,
-    forget: (source) => {
-      replace(records.get(source)?.counts ?? new Map(), new Map())
+    remove: (source) => {
+      replaceCounts(records.get(source)?.counts ?? new Map(), new Map())
       records.delete(source)
     },
     sources: () => [...records.keys()]
--- a/src/services/loadView/_lib/createRecentMaximum.ts
+++ b/src/services/loadView/_lib/createRecentMaximum.ts
@@ -4,33 +4,33 @@
  */
 
 export type RecentMaximum = {
-  readonly note: (value: number, now: number) => void
+  readonly record: (value: number, now: number) => void
   /** The maximum over the last one to two windows. */
   readonly read: (now: number) => number
 }
 
 export const createRecentMaximum = (windowMs: number): RecentMaximum => {
-  let bucket = -Infinity
+  let windowIndex = -Infinity
   let value = 0
   let current = 0
   let previous = 0
 
-  const roll = (now: number): void => {
-    const bucketNow = Math.floor(now / windowMs)
-    if (bucketNow === bucket) return
-    previous = bucketNow === bucket + 1 ? current : value
+  const advanceWindow = (now: number): void => {
+    const currentIndex = Math.floor(now / windowMs)
+    if (currentIndex === windowIndex) return
+    previous = currentIndex === windowIndex + 1 ? current : value
     current = value
-    bucket = bucketNow
+    windowIndex = currentIndex
   }
 
   return {
-    note: (next, now) => {
-      roll(now)
+    record: (next, now) => {
+      advanceWindow(now)
       value = next
       current = Math.max(current, next)
     },
     read: (now) => {
-      roll(now)
+      advanceWindow(now)
       return Math.max(previous, current)
     }
   }
--- a/src/services/loadView/index.ts
+++ b/src/services/loadView/index.ts
@@ -30,7 +30,7 @@
 }
 
 /** `publishedCounts` returns the load that this node reports to others, for the exchange in a large fleet. */
-export type RunningLoadView = RunningService<LoadView> & { readonly publishedCounts: () => ReadonlyMap<string, number> }
+export type RunningLoadView = RunningService<LoadView> & { readonly readPublishedCounts: () => ReadonlyMap<string, number> }
 
 export type LoadViewOptions = {
   readonly settings: Pick<RouterSettings, 'nodeId' | 'loadReportIntervalMs' | 'deadAfterMs'>
@@ -42,9 +42,9 @@
 
 const DEFAULT_BYTES_PER_SECOND = 3000
 /** Report intervals after which an excess expires without a new report. */
-const EXCESS_INTERVALS = 3
+const EXCESS_LIFETIME_INTERVALS = 3
 /** The counts of a peer are dropped after this many times `deadAfterMs` without a message from it, whatever state gossip gives it. */
-const SILENCE_FACTOR = 3
+const PEER_EXPIRY_FACTOR = 3
 
 /**
  * Creates the load view of one node.
@@ -70,15 +70,15 @@
   const own = new Map<string, number>()
   const excesses = new Map<string, Excess>()
   const recentMaxima = new Map<string, RecentMaximum>()
-  const heardAt = new Map<string, number>()
+  const lastReceivedAt = new Map<string, number>()
   const lastSequences = new Map<string, number>()
   const incarnations = new Map<string, number>()
   const hashes = new Map<string, string>()
   const names = new Map<string, string>()
 
-  const readOwn = (backendServer: string): number => own.get(backendServer) ?? 0
+  const readOwnCount = (backendServer: string): number => own.get(backendServer) ?? 0
 
-  const hashOf = (backendServer: string): string => {
+  const findHash = (backendServer: string): string => {
     const known = hashes.get(backendServer)
     if (known !== undefined) return known
     const hash = formatServerHash(backendServer)
@@ -87,12 +87,12 @@
     return hash
   }
 
-  const isInLargeFleet = (): boolean => fleetLoad?.isInUse() === true
+  const isInLargeFleet = (): boolean => fleetLoad?.isActive() === true
 
-  const readPeers = (backendServer: string): number =>
-    isInLargeFleet() ? fleetLoad!.readOthers(backendServer) : peerCounts.sum(hashOf(backendServer))
+  const readPeerCount = (backendServer: string): number =>
+    isInLargeFleet() ? fleetLoad!.readOthers(backendServer) : peerCounts.sum(findHash(backendServer))
 
-  const readKnown = (backendServer: string): number => readOwn(backendServer) + readPeers(backendServer)
+  const readKnownCount = (backendServer: string): number => readOwnCount(backendServer) + readPeerCount(backendServer)
 
   const findRecentMaximum = (backendServer: string): RecentMaximum => {
     const known = recentMaxima.get(backendServer)
@@ -102,35 +102,35 @@
     return created
   }
 
-  const noteKnown = (backendServer: string): void => findRecentMaximum(backendServer).note(readKnown(backendServer), clock.now())
+  const recordKnownCount = (backendServer: string): void => findRecentMaximum(backendServer).record(readKnownCount(backendServer), clock.now())
 
   const peerCounts = createPeerCounts((hash) => {
     const backendServer = names.get(hash)
-    if (backendServer !== undefined) noteKnown(backendServer)
+    if (backendServer !== undefined) recordKnownCount(backendServer)
   })
 
   const readExcess = (backendServer: string): number => {
     const excess = excesses.get(backendServer)
     if (excess === undefined || clock.now() >= excess.until) return 0
-    if (isOwnToPublish(backendServer)) return excess.requests
+    if (isPublisher(backendServer)) return excess.requests
     // Another router may have published the excess since the report: any growth of the
     // peers' counts since then may be the same requests.
-    return Math.max(0, excess.requests - Math.max(0, readPeers(backendServer) - excess.peerSum))
+    return Math.max(0, excess.requests - Math.max(0, readPeerCount(backendServer) - excess.peerSum))
   }
 
   /** Whether this node publishes the excess; without publishers each node uses its own excess locally. */
-  const isOwnToPublish = (backendServer: string): boolean => dependencies.publishesExcess?.(backendServer) ?? true
+  const isPublisher = (backendServer: string): boolean => dependencies.publishesExcess?.(backendServer) ?? true
 
   /** Load sums of a large fleet have their own period; a timer for each change would only cost wake-ups. */
-  const noteChange = (): void => { if (!isInLargeFleet()) broadcast.noteChange() }
+  const scheduleBroadcast = (): void => { if (!isInLargeFleet()) broadcast.scheduleBroadcast() }
 
-  const changeOwn = (backendServer: string, difference: number): void => {
-    const inFlight = readOwn(backendServer) + difference
+  const adjustOwnCount = (backendServer: string, difference: number): void => {
+    const inFlight = readOwnCount(backendServer) + difference
     if (inFlight < 0) throw new Error(`more requests ended than started on ${backendServer}`)
     if (inFlight === 0) own.delete(backendServer)
     else own.set(backendServer, inFlight)
-    noteKnown(backendServer)
-    noteChange()
+    recordKnownCount(backendServer)
+    scheduleBroadcast()
   }
 
   const applyReport = (backendServer: string, report: LoadReport): void => {
@@ -139,8 +139,8 @@
     if (report.ageMs > windowMs) return
     const requests = Math.max(0, report.running + report.waiting - findRecentMaximum(backendServer).read(now))
     if (requests === 0) excesses.delete(backendServer)
-    else excesses.set(backendServer, { requests, peerSum: readPeers(backendServer), until: now + EXCESS_INTERVALS * settings.loadReportIntervalMs })
-    noteChange()
+    else excesses.set(backendServer, { requests, peerSum: readPeerCount(backendServer), until: now + EXCESS_LIFETIME_INTERVALS * settings.loadReportIntervalMs })
+    scheduleBroadcast()
   }
 
   const readPublished = (): ReadonlyMap<string, number> => {
@@ -148,7 +148,7 @@
     const published = new Map(own)
     for (const backendServer of excesses.keys()) {
       const excess = dependencies.publishesExcess(backendServer) ? readExcess(backendServer) : 0
-      if (excess > 0) published.set(backendServer, readOwn(backendServer) + excess)
+      if (excess > 0) published.set(backendServer, readOwnCount(backendServer) + excess)
     }
     return published
   }
@@ -171,18 +171,18 @@
 
   // A restarted peer numbers its digests from the beginning again, so they would look
   // like late digests of its previous incarnation. A new incarnation resets the record.
-  const isOtherIncarnation = (source: string): boolean => findMember(source)?.incarnation !== incarnations.get(source)
+  const hasOtherIncarnation = (source: string): boolean => findMember(source)?.incarnation !== incarnations.get(source)
 
-  const isGone = (nodeId: string): boolean => {
+  const isDeadOrUnknown = (nodeId: string): boolean => {
     const state = findMember(nodeId)?.state
     return state === undefined || state === 'dead'
   }
 
-  const dropGone = (): void => {
-    for (const source of peerCounts.sources()) if (isGone(source) || isOtherIncarnation(source)) peerCounts.forget(source)
-    for (const source of heardAt.keys()) {
-      if (!isGone(source)) continue
-      heardAt.delete(source)
+  const dropDeadPeers = (): void => {
+    for (const source of peerCounts.sources()) if (isDeadOrUnknown(source) || hasOtherIncarnation(source)) peerCounts.remove(source)
+    for (const source of lastReceivedAt.keys()) {
+      if (!isDeadOrUnknown(source)) continue
+      lastReceivedAt.delete(source)
       lastSequences.delete(source)
       incarnations.delete(source)
     }
@@ -190,54 +190,54 @@
 
   // In a partial partition, other nodes still receive the heartbeats of a peer that this node doesn't.
   // Gossip then keeps the peer live here, and its last counts would never expire.
-  const dropSilent = (): void => {
-    const limit = clock.now() - SILENCE_FACTOR * settings.deadAfterMs
-    for (const [source, at] of heardAt) {
+  const dropUnresponsivePeers = (): void => {
+    const limit = clock.now() - PEER_EXPIRY_FACTOR * settings.deadAfterMs
+    for (const [source, at] of lastReceivedAt) {
       if (at >= limit) continue
-      heardAt.delete(source)
-      peerCounts.forget(source)
+      lastReceivedAt.delete(source)
+      peerCounts.remove(source)
     }
   }
 
   const applyHeartbeat = ({ member, loadWanted, loadSequence }: Heartbeat): void => {
-    heardAt.set(member.nodeId, clock.now())
+    lastReceivedAt.set(member.nodeId, clock.now())
     if (loadSequence !== undefined) {
       lastSequences.set(member.nodeId, loadSequence)
       // A digest of the previous incarnation arrived after the first heartbeat of the new one.
-      if (peerCounts.isAhead(member.nodeId, loadSequence)) peerCounts.forget(member.nodeId)
+      if (peerCounts.isAhead(member.nodeId, loadSequence)) peerCounts.remove(member.nodeId)
     }
     if (loadWanted === true) broadcast.sendFull(member)
-    dropSilent()
+    dropUnresponsivePeers()
   }
 
   const applyDigest = (packed: PackedLoadDigest): void => {
     const source = findMember(packed.source)
     if (source === undefined || source.state === 'dead') return
-    heardAt.set(packed.source, clock.now())
+    lastReceivedAt.set(packed.source, clock.now())
     incarnations.set(packed.source, source.incarnation)
     peerCounts.apply(unpackLoadDigest(packed))
   }
 
-  const contribute = (receiver: Member): HeartbeatParts => {
+  const createHeartbeatParts = (receiver: Member): HeartbeatParts => {
     if (isInLargeFleet()) return {}
     // A lost digest is detected by the next one, or at the latest by the sequence number in the heartbeat.
     const lastSequence = lastSequences.get(receiver.nodeId)
-    const isLacking = lastSequence !== undefined && peerCounts.lacks(receiver.nodeId, lastSequence)
-    return { loadSequence: broadcast.sequence(), ...(isLacking ? { loadWanted: true } : {}) }
+    const isMissingDigests = lastSequence !== undefined && peerCounts.isBehind(receiver.nodeId, lastSequence)
+    return { loadSequence: broadcast.sequence(), ...(isMissingDigests ? { loadWanted: true } : {}) }
   }
 
-  exchange.addContributor(contribute)
+  exchange.addContributor(createHeartbeatParts)
   exchange.addListener(applyHeartbeat)
-  membership.onChange(dropGone)
-  fleetLoad?.onChange(noteKnown)
+  membership.onChange(dropDeadPeers)
+  fleetLoad?.onChange(recordKnownCount)
 
   return {
-    publishedCounts: readPublished,
+    readPublishedCounts: readPublished,
     api: {
-      recordStart: (backendServer) => changeOwn(backendServer, 1),
-      recordEnd: (backendServer) => changeOwn(backendServer, -1),
-      estimateInFlight: (backendServer) => readKnown(backendServer) + readExcess(backendServer),
-      ownInFlight: readOwn,
+      recordStart: (backendServer) => adjustOwnCount(backendServer, 1),
+      recordEnd: (backendServer) => adjustOwnCount(backendServer, -1),
+      estimateInFlight: (backendServer) => readKnownCount(backendServer) + readExcess(backendServer),
+      ownInFlight: readOwnCount,
       applyReport
     },
     start: () => {
--- a/src/services/placement/index.ts
+++ b/src/services/placement/index.ts
@@ -15,17 +15,17 @@
 }
 
 /** A configured backend server with its current weight and load. */
-export type PlacedServer = {
+export type AvailableServer = {
   readonly name: string
   readonly weight: number
   readonly inFlight: number
   readonly backendServer: BackendServer
 }
 
-const NO_SERVER_RETRY_MS = 1_000
-const FULL_RETRY_MS = 250
+const NO_SERVER_RETRY_AFTER_MS = 1_000
+const QUEUE_FULL_RETRY_AFTER_MS = 250
 
-const getsNewWork: Readonly<Record<BackendServerState, boolean>> = {
+const acceptsNewRequests: Readonly<Record<BackendServerState, boolean>> = {
   live: true,
   slowStart: true,
   ejected: false,
@@ -43,12 +43,12 @@
  * @param dependencies - Configuration, health and load of this node.
  * @returns The servers, in the order of the configuration sheet.
  */
-export const listPlacedServers = (service: string, dependencies: PlacementDependencies): readonly PlacedServer[] => {
+export const listAvailableServers = (service: string, dependencies: PlacementDependencies): readonly AvailableServer[] => {
   const servers = dependencies.configuration.current()?.sheet.backendServers ?? []
   return servers
     .filter((backendServer) => backendServer.service === service)
     .map((backendServer) => ({ backendServer, status: dependencies.backendHealth.status(backendServer.name) }))
-    .filter(({ status }) => getsNewWork[status.state])
+    .filter(({ status }) => acceptsNewRequests[status.state])
     .map(({ backendServer, status }) => ({
       name: backendServer.name,
       weight: backendServer.slots * status.weightShare,
@@ -67,12 +67,12 @@
   api: {
     choose: (demand) => {
       const service = findService(dependencies.configuration.current(), demand.service)
-      const servers = service === undefined ? [] : listPlacedServers(demand.service, dependencies)
-      const isAnyLeft = servers.some(({ name }) => !demand.excluded.has(name))
-      if (service === undefined || !isAnyLeft) return { kind: 'none', reason: 'noBackendServer', retryAfterMs: NO_SERVER_RETRY_MS }
+      const servers = service === undefined ? [] : listAvailableServers(demand.service, dependencies)
+      const hasCandidate = servers.some(({ name }) => !demand.excluded.has(name))
+      if (service === undefined || !hasCandidate) return { kind: 'none', reason: 'noBackendServer', retryAfterMs: NO_SERVER_RETRY_AFTER_MS }
       const { loadTarget, loadLimit } = service
       const chosen = chooseBackendServer(demand, servers, { loadTarget, loadLimit })
-      if (chosen === undefined) return { kind: 'none', reason: 'queueFull', retryAfterMs: FULL_RETRY_MS }
+      if (chosen === undefined) return { kind: 'none', reason: 'queueFull', retryAfterMs: QUEUE_FULL_RETRY_AFTER_MS }
       return { kind: 'chosen', backendServer: chosen.backendServer }
     }
   }
--- a/src/services/promptDirectory/_lib/createPlaceNews.ts
+++ b/src/services/promptDirectory/_lib/createCacheAnnouncer.ts
@@ -6,37 +6,37 @@
  * within its zone: with 69 nodes a node sends 4 messages in a period instead of 68.
  */
 import { LRUCache } from 'lru-cache'
-import { growTo } from './growTo.js'
+import { createLruOptions } from './createLruOptions.js'
 import { selectZoneReaders } from '../../../decisions/selectZoneReaders/index.js'
 import type { Clock, Member, Membership, PeerMessageOf, PeerTransport } from '../../../types/index.js'
 
-export type PlaceNews = {
+export type CacheAnnouncer = {
   readonly add: (part: string, instanceKey: string) => void
   /** Records a peer's announcement, so that it isn't repeated, and queues it for this zone if the peer requests that. */
-  readonly take: (message: PeerMessageOf<'promptPlaces'>) => void
+  readonly receive: (message: PeerMessageOf<'promptPlaces'>) => void
   /** Sends the queued announcements. */
-  readonly tell: () => void
+  readonly flush: () => void
 }
 
-export type PlaceNewsDependencies = {
+export type CacheAnnouncerDependencies = {
   readonly clock: Clock
   readonly transport: Pick<PeerTransport, 'send'>
   readonly membership: Pick<Membership, 'liveMembers' | 'self'>
 }
 
-type Places = Map<string, { readonly part: string, readonly instanceKey: string }>
+type Locations = Map<string, { readonly part: string, readonly instanceKey: string }>
 
 /** About 15 bytes each: after a start, the cached parts of a zone's engines are announced within one or two periods. */
-const PLACES_PER_MESSAGE = 1_024
+const MAXIMUM_LOCATIONS_PER_MESSAGE = 1_024
 /** Maximum queued locations: enough for the engines of two zones together. */
-const PLACES_WAITING = 8_192
+const MAXIMUM_QUEUED_LOCATIONS = 8_192
 /** A quarter of the time after which a location that is not announced again counts as evicted. */
-const RETELL_MS = 15_000
-const PLACES_REMEMBERED = 20_000
+const REANNOUNCE_MS = 15_000
+const MAXIMUM_TRACKED_LOCATIONS = 20_000
 
-const formatPlace = (part: string, instanceKey: string): string => `${part} ${instanceKey}`
+const formatLocation = (part: string, instanceKey: string): string => `${part} ${instanceKey}`
 
-const toMessage = (places: Places, isForZone: boolean): PeerMessageOf<'promptPlaces'> => {
+const toMessage = (places: Locations, isForZone: boolean): PeerMessageOf<'promptPlaces'> => {
   const byServer = new Map<string, string[]>()
   for (const { part, instanceKey } of places.values()) {
     const parts = byServer.get(instanceKey)
@@ -47,25 +47,25 @@
 }
 
 /** Creates the announcer of one node. Up to `fullMeshPeers` peers, it sends to all of them directly. */
-export const createPlaceNews = ({ clock, transport, membership }: PlaceNewsDependencies, fullMeshPeers: number): PlaceNews => {
-  const toldAt = new LRUCache<string, number>(growTo(PLACES_REMEMBERED))
-  const own: Places = new Map()
-  const forZone: Places = new Map()
+export const createCacheAnnouncer = ({ clock, transport, membership }: CacheAnnouncerDependencies, fullMeshPeers: number): CacheAnnouncer => {
+  const announcedAt = new LRUCache<string, number>(createLruOptions(MAXIMUM_TRACKED_LOCATIONS))
+  const own: Locations = new Map()
+  const forZone: Locations = new Map()
 
-  const isNews = (place: string): boolean => clock.now() - (toldAt.get(place) ?? -Infinity) > RETELL_MS
+  const isDue = (location: string): boolean => clock.now() - (announcedAt.get(location) ?? -Infinity) > REANNOUNCE_MS
 
-  const collect = (places: Places, part: string, instanceKey: string): void => {
-    if (places.size < PLACES_WAITING) places.set(formatPlace(part, instanceKey), { part, instanceKey })
+  const enqueue = (places: Locations, part: string, instanceKey: string): void => {
+    if (places.size < MAXIMUM_QUEUED_LOCATIONS) places.set(formatLocation(part, instanceKey), { part, instanceKey })
   }
 
   /** Removes and returns the oldest queued locations that fit one message. */
-  const takeMessage = (places: Places): Places => {
-    const taken: Places = new Map([...places].slice(0, PLACES_PER_MESSAGE))
-    for (const place of taken.keys()) places.delete(place)
+  const takeMessage = (places: Locations): Locations => {
+    const taken: Locations = new Map([...places].slice(0, MAXIMUM_LOCATIONS_PER_MESSAGE))
+    for (const location of taken.keys()) places.delete(location)
     return taken
   }
 
-  const send = (receivers: readonly Member[], places: Places, isForZone: boolean): void => {
+  const send = (receivers: readonly Member[], places: Locations, isForZone: boolean): void => {
     if (places.size === 0) return
     const message = toMessage(places, isForZone)
     const self = membership.self().nodeId
@@ -79,35 +79,35 @@
     return [...zones].flatMap((zone) => selectZoneReaders(zone, members, 1))
   }
 
-  const tellThroughForwarders = (): void => {
+  const sendThroughForwarders = (): void => {
     if (own.size + forZone.size === 0) return
     const { nodeId, availabilityZone } = membership.self()
     const forwarders = listForwarders()
-    const told = takeMessage(own)
-    send(forwarders, told, true)
-    if (forwarders.some((forwarder) => forwarder.nodeId === nodeId)) for (const { part, instanceKey } of told.values()) collect(forZone, part, instanceKey)
+    const announced = takeMessage(own)
+    send(forwarders, announced, true)
+    if (forwarders.some((forwarder) => forwarder.nodeId === nodeId)) for (const { part, instanceKey } of announced.values()) enqueue(forZone, part, instanceKey)
     send(membership.liveMembers().filter((member) => member.availabilityZone === availabilityZone), takeMessage(forZone), false)
   }
 
   return {
     add: (part, instanceKey) => {
-      const place = formatPlace(part, instanceKey)
-      if (!isNews(place)) return
-      toldAt.set(place, clock.now())
-      collect(own, part, instanceKey)
+      const location = formatLocation(part, instanceKey)
+      if (!isDue(location)) return
+      announcedAt.set(location, clock.now())
+      enqueue(own, part, instanceKey)
     },
-    take: ({ places, isForZone }) => {
+    receive: ({ places, isForZone }) => {
       for (const { server, parts } of places) {
         for (const part of parts) {
-          toldAt.set(formatPlace(part, server), clock.now())
-          if (isForZone === true) collect(forZone, part, server)
+          announcedAt.set(formatLocation(part, server), clock.now())
+          if (isForZone === true) enqueue(forZone, part, server)
         }
       }
     },
-    tell: () => {
+    flush: () => {
       // While no peers are known, locations that were recovered after a start stay queued.
       if (membership.liveMembers().length <= 1) return
-      if (membership.liveMembers().length - 1 > fullMeshPeers) tellThroughForwarders()
+      if (membership.liveMembers().length - 1 > fullMeshPeers) sendThroughForwarders()
       else send(membership.liveMembers(), takeMessage(own), false)
     }
   }
--- a/src/services/promptDirectory/_lib/createPlacesRecovery.test.ts
+++ b/src/services/promptDirectory/_lib/createDirectoryRecovery.test.ts
@@ -1,12 +1,12 @@
 import { describe, expect, test } from 'vitest'
-import { createPlacesRecovery } from './createPlacesRecovery.js'
+import { createDirectoryRecovery } from './createDirectoryRecovery.js'
 import { formatInstanceKey } from '../../../decisions/formatInstanceKey/index.js'
 import { createManualClock } from '../../../emulator/createManualClock/index.js'
 import { createMemoryPeerNetwork } from '../../../emulator/createMemoryPeerNetwork/index.js'
 import { success } from '../../../kernel/index.js'
 import type { BackendInstance, CachedParts, Logger, Member } from '../../../types/index.js'
 
-const SILENT: Logger = { error: () => {}, warn: () => {}, info: () => {}, debug: () => {} }
+const SILENT_LOGGER: Logger = { error: () => {}, warn: () => {}, info: () => {}, debug: () => {} }
 const ANSWER_MS = 10
 
 const createEngine = (index: number, zone: string): BackendInstance =>
@@ -29,16 +29,16 @@
   const nodes = members.map((self, index) => {
     const transport = network.createTransport(self.address)
     const known = new Set<string>(index < restarted ? [] : engines.map(formatInstanceKey))
-    const noteAll = (kept: readonly CachedParts[]): void => { for (const { server } of kept) known.add(server) }
-    const recovery = createPlacesRecovery({
+    const recordAll = (kept: readonly CachedParts[]): void => { for (const { server } of kept) known.add(server) }
+    const recovery = createDirectoryRecovery({
       clock,
       transport,
       membership: { self: () => self, liveMembers: () => members },
-      isKnown: (key) => known.has(key),
-      noteAll,
-      tell: (_part, key) => { for (const node of nodes) node.known.add(key) },
+      hasLocations: (key) => known.has(key),
+      recordAll,
+      announce: (_part, key) => { for (const node of nodes) node.known.add(key) },
       recovery: {
-        logger: SILENT,
+        logger: SILENT_LOGGER,
         random: { next: () => (seed = (seed + 0.37) % 1), nextId: () => 'id' },
         registry: { all: () => engines },
         memory: {
@@ -51,7 +51,7 @@
         availabilityZone: self.availabilityZone,
         isEngine: () => true,
         areEnginesKnown: () => true,
-        onKnown: () => {}
+        onEnginesChange: () => {}
       }
     })
     transport.handle('promptPlacesRequest', () =>
@@ -64,7 +64,7 @@
     engines,
     start: () => { for (const [index, { recovery }] of nodes.entries()) if (index < restarted) recovery.start() },
     countLists: () => [...lists.values()].reduce((sum, count) => sum + count, 0),
-    mostLists: () => Math.max(0, ...lists.values())
+    readMaximumLists: () => Math.max(0, ...lists.values())
   }
 }
 
@@ -74,7 +74,7 @@
     const fleet = createFleet({ nodesPerZone, enginesPerZone })
     fleet.start()
     await fleet.clock.advanceAndSettle(400)
-    expect(fleet.mostLists()).toBe(1)
+    expect(fleet.readMaximumLists()).toBe(1)
     for (const { known } of fleet.nodes) expect(known.size).toBe(2 * enginesPerZone)
   })
 
--- a/src/services/promptDirectory/_lib/createPlacesRecovery.ts
+++ b/src/services/promptDirectory/_lib/createDirectoryRecovery.ts
@@ -12,54 +12,54 @@
 import type { BackendInstance, Clock, PromptCacheSource, InstanceRegistry, CachedParts, Logger, Member, Membership, PeerTransport, RandomSource } from '../../../types/index.js'
 import { formatInstanceKey } from '../../../decisions/formatInstanceKey/index.js'
 
-export type PlacesRecoverySources = {
+export type DirectoryRecoverySources = {
   readonly logger: Logger
   readonly random: RandomSource
   readonly registry: Pick<InstanceRegistry, 'all'>
   /** Whether the list of engines has been read; `onKnown` registers a listener for changes of this state. */
   readonly areEnginesKnown: () => boolean
-  readonly onKnown: (listener: () => void) => void
+  readonly onEnginesChange: (listener: () => void) => void
   readonly memory: PromptCacheSource
   readonly availabilityZone: string
   /** Whether a backend server is a model engine and so has a prompt cache. */
   readonly isEngine: (instance: BackendInstance) => boolean
 }
 
-export type PlacesRecoveryDependencies = {
+export type DirectoryRecoveryDependencies = {
   readonly clock: Clock
   readonly transport: Pick<PeerTransport, 'request'>
   readonly membership: Pick<Membership, 'liveMembers' | 'self'>
-  readonly recovery: PlacesRecoverySources
-  readonly isKnown: (instanceKey: string) => boolean
-  readonly noteAll: (kept: readonly CachedParts[]) => void
+  readonly recovery: DirectoryRecoverySources
+  readonly hasLocations: (instanceKey: string) => boolean
+  readonly recordAll: (kept: readonly CachedParts[]) => void
   /** Announces a location to peers. */
-  readonly tell: (part: string, instanceKey: string) => void
+  readonly announce: (part: string, instanceKey: string) => void
 }
 
-export type PlacesRecovery = {
+export type DirectoryRecovery = {
   readonly start: () => void
   /** Registers a listener for the end of the first queries. */
-  readonly onLearnt: (listener: () => void) => void
+  readonly onRecovered: (listener: () => void) => void
   /** Whether recovery is complete: all engines of the zone are covered, except those that did not answer. */
   readonly isWhole: () => boolean
 }
 
 /** Delay after the engines are known until, in most starts, the peers of the zone are known too. */
-const PEERS_KNOWN_MS = 150
+const PEER_DISCOVERY_DELAY_MS = 150
 /** Engines without an announcement after this time are queried: the node assigned to them may have started late or not at all. */
-const REMAINING_MS = 1_000
+const REMAINING_ENGINES_DELAY_MS = 1_000
 /** A running peer answers within some milliseconds. */
-const ASK_TIMEOUT_MS = 200
+const PEER_REQUEST_TIMEOUT_MS = 200
 /** Maximum random delay before the remaining engines are queried, so that a second node receives the announcements of the first one. */
-const SPREAD_MS = 600
+const MAXIMUM_SPREAD_MS = 600
 /** Nodes of a zone that query the remaining engines: the second covers the loss of the first one's announcements. */
-const ASKING_NODES = 2
+const MAXIMUM_QUERYING_NODES = 2
 
 const wait = (clock: Clock, ms: number): Promise<void> => new Promise((resolve) => { clock.setTimer(ms, resolve) })
 
 /** Creates the recovery of one node; it runs once `start` is called. */
-export const createPlacesRecovery = (dependencies: PlacesRecoveryDependencies): PlacesRecovery => {
-  const { clock, transport, membership, recovery, isKnown, noteAll, tell } = dependencies
+export const createDirectoryRecovery = (dependencies: DirectoryRecoveryDependencies): DirectoryRecovery => {
+  const { clock, transport, membership, recovery, hasLocations, recordAll, announce } = dependencies
   const { registry, logger, random, availabilityZone } = recovery
   const listeners: (() => void)[] = []
   let isWhole = false
@@ -72,15 +72,15 @@
     return shuffle(membership.liveMembers().filter(({ nodeId }) => nodeId !== self))
   }
 
-  const askPeer = async (peer: Member): Promise<void> => {
-    const result = await transport.request(peer.address, { kind: 'promptPlacesRequest' }, ASK_TIMEOUT_MS)
+  const queryPeer = async (peer: Member): Promise<void> => {
+    const result = await transport.request(peer.address, { kind: 'promptPlacesRequest' }, PEER_REQUEST_TIMEOUT_MS)
     if (!result.ok || result.value.kind !== 'promptPlaces') return
-    noteAll(result.value.places)
+    recordAll(result.value.places)
     isWhole ||= result.value.isWhole && peer.availabilityZone === availabilityZone
     logger.info('prompt places learnt', { from: peer.nodeId, servers: result.value.places.length, isWhole: result.value.isWhole })
   }
 
-  const askEngine = async (instance: BackendInstance): Promise<void> => {
+  const queryEngine = async (instance: BackendInstance): Promise<void> => {
     const result = await recovery.memory.list(instance)
     if (!result.ok) {
       logger.warn('prompt places not learnt', { backendServer: instance.id, reason: describeSourceError(result.error) })
@@ -89,56 +89,56 @@
     const server = formatInstanceKey(instance)
     const parts = result.value.map(({ id }) => id)
     logger.info('prompt places learnt', { from: instance.id, places: parts.length })
-    noteAll([{ server, parts }])
-    for (const part of parts) tell(part, server)
+    recordAll([{ server, parts }])
+    for (const part of parts) announce(part, server)
   }
 
-  const listUnknownEngines = (): readonly BackendInstance[] =>
-    registry.all().filter((instance) => recovery.isEngine(instance) && !isKnown(formatInstanceKey(instance)))
+  const listEnginesWithoutLocations = (): readonly BackendInstance[] =>
+    registry.all().filter((instance) => recovery.isEngine(instance) && !hasLocations(formatInstanceKey(instance)))
 
-  const listUnknownInZone = (): readonly BackendInstance[] => listUnknownEngines().filter((engine) => engine.availabilityZone === availabilityZone)
+  const listZoneEnginesWithoutLocations = (): readonly BackendInstance[] => listEnginesWithoutLocations().filter((engine) => engine.availabilityZone === availabilityZone)
 
-  const whenEnginesKnown = (): Promise<void> => new Promise((resolve) => {
+  const waitForEngines = (): Promise<void> => new Promise((resolve) => {
     if (recovery.areEnginesKnown()) return resolve()
-    recovery.onKnown(() => { if (recovery.areEnginesKnown()) resolve() })
+    recovery.onEnginesChange(() => { if (recovery.areEnginesKnown()) resolve() })
   })
 
   /** Whether this node is the one of its zone that queries the engine; every engine is assigned to one node. */
-  const isOwnToAsk = (engine: BackendInstance, nodes: readonly Member[]): boolean => {
+  const isAssignedToSelf = (engine: BackendInstance, nodes: readonly Member[]): boolean => {
     const [first] = rankMembers(formatInstanceKey(engine), nodes)
     return first?.nodeId === membership.self().nodeId
   }
 
-  const askOwnPart = async (): Promise<void> => {
+  const queryAssignedEngines = async (): Promise<void> => {
     const nodes = membership.liveMembers().filter((member) => member.availabilityZone === availabilityZone)
-    await Promise.all(listUnknownInZone().filter((engine) => isOwnToAsk(engine, nodes)).map(askEngine))
+    await Promise.all(listZoneEnginesWithoutLocations().filter((engine) => isAssignedToSelf(engine, nodes)).map(queryEngine))
   }
 
-  const askRemaining = async (): Promise<void> => {
+  const queryRemainingEngines = async (): Promise<void> => {
     const self = membership.self().nodeId
-    if (!selectZoneReaders(availabilityZone, membership.liveMembers(), ASKING_NODES).some(({ nodeId }) => nodeId === self)) return
-    await wait(clock, SPREAD_MS * random.next())
-    for (const engine of listUnknownInZone()) await askEngine(engine)
+    if (!selectZoneReaders(availabilityZone, membership.liveMembers(), MAXIMUM_QUERYING_NODES).some(({ nodeId }) => nodeId === self)) return
+    await wait(clock, MAXIMUM_SPREAD_MS * random.next())
+    for (const engine of listZoneEnginesWithoutLocations()) await queryEngine(engine)
   }
 
   const run = async (): Promise<void> => {
-    await whenEnginesKnown()
-    await wait(clock, PEERS_KNOWN_MS)
+    await waitForEngines()
+    await wait(clock, PEER_DISCOVERY_DELAY_MS)
     const peer = listPeers().find((member) => member.availabilityZone === availabilityZone)
-    if (peer !== undefined) await askPeer(peer)
-    if (!isWhole) await askOwnPart()
+    if (peer !== undefined) await queryPeer(peer)
+    if (!isWhole) await queryAssignedEngines()
     for (const listener of listeners) listener()
-    if (!isWhole) await wait(clock, REMAINING_MS)
+    if (!isWhole) await wait(clock, REMAINING_ENGINES_DELAY_MS)
     // A random peer adds the locations that nodes of other zones announced before they knew this node.
     const [other] = listPeers()
-    if (other !== undefined && listUnknownEngines().length > 0) await askPeer(other)
-    if (!isWhole) await askRemaining()
+    if (other !== undefined && listEnginesWithoutLocations().length > 0) await queryPeer(other)
+    if (!isWhole) await queryRemainingEngines()
     isWhole = true
   }
 
   return {
     start: () => { run() },
-    onLearnt: (listener) => { listeners.push(listener) },
+    onRecovered: (listener) => { listeners.push(listener) },
     isWhole: () => isWhole
   }
 }
--- a/src/services/promptDirectory/index.ts
+++ b/src/services/promptDirectory/index.ts
@@ -7,20 +7,20 @@
 import { LRUCache } from 'lru-cache'
 import type { RunningService } from '../../kernel/index.js'
 import type { Clock, CachedParts, Membership, PeerTransport, PromptPart, Timer } from '../../types/index.js'
-import { createPlaceNews } from './_lib/createPlaceNews.js'
-import { growTo } from './_lib/growTo.js'
-import { createPlacesRecovery } from './_lib/createPlacesRecovery.js'
-import type { PlacesRecoverySources } from './_lib/createPlacesRecovery.js'
+import { createCacheAnnouncer } from './_lib/createCacheAnnouncer.js'
+import { createLruOptions } from './_lib/createLruOptions.js'
+import { createDirectoryRecovery } from './_lib/createDirectoryRecovery.js'
+import type { DirectoryRecoverySources } from './_lib/createDirectoryRecovery.js'
 
-export type { PlacesRecoverySources } from './_lib/createPlacesRecovery.js'
+export type { DirectoryRecoverySources } from './_lib/createDirectoryRecovery.js'
 
 export type PromptDirectory = {
   /** Records that a backend server processes these prompt parts now and so caches them. */
   readonly record: (parts: readonly PromptPart[], instanceKey: string) => void
   /** Estimated tokens of the longest prefix of `parts` that each server caches, by instance key; servers that cache none are left out. */
-  readonly listKept: (parts: readonly PromptPart[]) => ReadonlyMap<string, number>
+  readonly listCachedTokens: (parts: readonly PromptPart[]) => ReadonlyMap<string, number>
   /** Registers a listener for the end of the first recovery queries after a start. */
-  readonly onLearnt: (listener: () => void) => void
+  readonly onRecovered: (listener: () => void) => void
 }
 
 export type PromptDirectoryDependencies = {
@@ -28,7 +28,7 @@
   readonly transport: Pick<PeerTransport, 'send' | 'handle' | 'request'>
   readonly membership: Pick<Membership, 'liveMembers' | 'self'>
   /** Sources for recovering the directory after a start; left out where no engine can have cached anything yet. */
-  readonly recovery?: PlacesRecoverySources
+  readonly recovery?: DirectoryRecoverySources
 }
 
 export type PromptDirectoryOptions = {
@@ -41,11 +41,11 @@
 }
 
 /** A part that is unused for this long counts as evicted: engines evict the least recently used parts first. */
-const KEPT_MS = 60_000
+const LOCATION_LIFETIME_MS = 60_000
 /** About 15 bytes each: a reply stays under 60 kB, which the network link of a small VM transfers in 70 ms. */
-const PLACES_PER_REPLY = 4_000
+const MAXIMUM_LOCATIONS_PER_REPLY = 4_000
 /** Maximum servers recorded for one part. This exceeds the servers of any service, since a part that starts many prompts is cached on most of them. */
-const SERVERS_PER_PART = 1_024
+const MAXIMUM_SERVERS_PER_PART = 1_024
 
 export const defaultPromptDirectoryOptions: PromptDirectoryOptions = { periodMs: 250, maximumParts: 20_000, fullMeshPeers: 12 }
 
@@ -62,11 +62,11 @@
  */
 export const createPromptDirectory = (dependencies: PromptDirectoryDependencies, options: PromptDirectoryOptions = defaultPromptDirectoryOptions): RunningService<PromptDirectory> => {
   const { clock, transport } = dependencies
-  const places = new LRUCache<string, Map<string, number>>(growTo(options.maximumParts))
-  const news = createPlaceNews(dependencies, options.fullMeshPeers)
+  const places = new LRUCache<string, Map<string, number>>(createLruOptions(options.maximumParts))
+  const announcer = createCacheAnnouncer(dependencies, options.fullMeshPeers)
   let timer: Timer | undefined
 
-  const note = (part: string, instanceKey: string): void => {
+  const recordLocation = (part: string, instanceKey: string): void => {
     let servers = places.get(part)
     if (servers === undefined) {
       servers = new Map()
@@ -75,22 +75,22 @@
     // Deleting first moves the entry to the end, so that the map stays in order of last use.
     servers.delete(instanceKey)
     servers.set(instanceKey, clock.now())
-    if (servers.size <= SERVERS_PER_PART) return
+    if (servers.size <= MAXIMUM_SERVERS_PER_PART) return
     const [oldest] = servers.keys()
     if (oldest !== undefined) servers.delete(oldest)
   }
 
-  const noteAll = (kept: readonly CachedParts[]): void => {
-    for (const { server, parts } of kept) for (const part of parts) note(part, server)
+  const recordAll = (locations: readonly CachedParts[]): void => {
+    for (const { server, parts } of locations) for (const part of parts) recordLocation(part, server)
   }
 
   /** The most recently used parts that fit one message; the parts of each server are listed oldest first. */
-  const listPlaces = (): readonly CachedParts[] => {
+  const listLocations = (): readonly CachedParts[] => {
     const byServer = new Map<string, string[]>()
     let count = 0
     for (const [part, holders] of places.entries()) {
       for (const server of holders.keys()) {
-        if (count++ >= PLACES_PER_REPLY) break
+        if (count++ >= MAXIMUM_LOCATIONS_PER_REPLY) break
         const parts = byServer.get(server)
         if (parts === undefined) byServer.set(server, [part])
         else parts.push(part)
@@ -101,58 +101,58 @@
 
   const record = (parts: readonly PromptPart[], instanceKey: string): void => {
     for (const [index, { id }] of parts.entries()) {
-      note(id, instanceKey)
+      recordLocation(id, instanceKey)
       // The last part belongs to this request only, so it is not announced to peers.
-      if (index < parts.length - 1) news.add(id, instanceKey)
+      if (index < parts.length - 1) announcer.add(id, instanceKey)
     }
   }
 
-  const listKept = (parts: readonly PromptPart[]): ReadonlyMap<string, number> => {
-    const kept = new Map<string, number>()
-    const oldest = clock.now() - KEPT_MS
-    let beginning = 0
+  const listCachedTokens = (parts: readonly PromptPart[]): ReadonlyMap<string, number> => {
+    const cachedTokens = new Map<string, number>()
+    const oldest = clock.now() - LOCATION_LIFETIME_MS
+    let prefixTokens = 0
     for (const { id, tokens } of parts) {
-      let isKept = false
+      let isCached = false
       for (const [server, at] of places.get(id) ?? []) {
-        if (at < oldest || (kept.get(server) ?? 0) !== beginning) continue
-        kept.set(server, beginning + tokens)
-        isKept = true
+        if (at < oldest || (cachedTokens.get(server) ?? 0) !== prefixTokens) continue
+        cachedTokens.set(server, prefixTokens + tokens)
+        isCached = true
       }
-      if (!isKept) break
-      beginning += tokens
+      if (!isCached) break
+      prefixTokens += tokens
     }
-    return kept
+    return cachedTokens
   }
 
-  const recovery = dependencies.recovery && createPlacesRecovery({
+  const recovery = dependencies.recovery && createDirectoryRecovery({
     ...dependencies,
     recovery: dependencies.recovery,
-    isKnown: (instanceKey) => [...places.values()].some((servers) => servers.has(instanceKey)),
-    noteAll,
-    tell: news.add
+    hasLocations: (instanceKey) => [...places.values()].some((servers) => servers.has(instanceKey)),
+    recordAll,
+    announce: announcer.add
   })
-  recovery?.onLearnt(() => news.tell())
+  recovery?.onRecovered(() => announcer.flush())
 
-  const tellPeers = (): void => {
-    timer = clock.setTimer(options.periodMs, tellPeers)
-    news.tell()
+  const announceToPeers = (): void => {
+    timer = clock.setTimer(options.periodMs, announceToPeers)
+    announcer.flush()
   }
 
   return {
     api: {
       record,
-      listKept,
-      onLearnt: (listener) => recovery?.onLearnt(listener)
+      listCachedTokens,
+      onRecovered: (listener) => recovery?.onRecovered(listener)
     },
     start: () => {
       transport.handle('promptPlaces', (message) => {
-        noteAll(message.places)
-        news.take(message)
+        recordAll(message.places)
+        announcer.receive(message)
         return { kind: 'none' }
       })
-      transport.handle('promptPlacesRequest', () => ({ kind: 'promptPlaces', places: listPlaces(), isWhole: recovery?.isWhole() ?? true }))
+      transport.handle('promptPlacesRequest', () => ({ kind: 'promptPlaces', places: listLocations(), isWhole: recovery?.isWhole() ?? true }))
       recovery?.start()
-      timer = clock.setTimer(options.periodMs, tellPeers)
+      timer = clock.setTimer(options.periodMs, announceToPeers)
     },
     stop: () => timer?.cancel()
   }
--- a/src/services/promptDirectory/test.ts
+++ b/src/services/promptDirectory/test.ts
@@ -7,7 +7,7 @@
 const PARTS = [{ id: 'shop', tokens: 800 }, { id: 'subject', tokens: 400 }, { id: 'own', tokens: 200 }]
 const SERVER = 'engine-1@1'
 /** Two periods: one to the forwarder and one from it to its zone. */
-const TOLD_MS = 600
+const ANNOUNCED_MS = 600
 
 const createMember = (index: number, zones: number): Member =>
   ({ nodeId: `node-${String(index).padStart(2, '0')}`, incarnation: 1, address: { host: `node-${index}`, port: 1 }, availabilityZone: `zone-${index % zones}`, state: 'live', generation: 1 })
@@ -22,40 +22,40 @@
     start?.()
     return { api, transport }
   })
-  const readKept = (): readonly number[] => nodes.map(({ api }) => api.listKept(PARTS).get(SERVER) ?? 0)
+  const readCachedTokens = (): readonly number[] => nodes.map(({ api }) => api.listCachedTokens(PARTS).get(SERVER) ?? 0)
   const countMessages = (): number => nodes.reduce((sum, { transport }) => sum + transport.messagesSent(), 0)
-  return { clock, nodes, readKept, countMessages }
+  return { clock, nodes, readKept: readCachedTokens, countMessages }
 }
 
 describe.each([['few', 5], ['many', 40]])('in a fleet of %s nodes', (_name, size) => {
   test('all nodes learn the locations of the shared parts, and only of these', async () => {
-    const { clock, nodes, readKept } = createFleet(size)
+    const { clock, nodes, readKept: readCachedTokens } = createFleet(size)
     nodes[3]!.api.record(PARTS, SERVER)
-    await clock.advanceAndSettle(TOLD_MS)
-    expect(readKept()).toEqual(nodes.map((_, index) => index === 3 ? 1400 : 1200))
+    await clock.advanceAndSettle(ANNOUNCED_MS)
+    expect(readCachedTokens()).toEqual(nodes.map((_, index) => index === 3 ? 1400 : 1200))
   })
 
   test('a location in steady use stays known', async () => {
-    const { clock, nodes, readKept } = createFleet(size)
+    const { clock, nodes, readKept: readCachedTokens } = createFleet(size)
     for (let second = 0; second < 120; second++) {
       nodes[0]!.api.record(PARTS, SERVER)
       await clock.advanceAndSettle(1_000)
     }
-    expect(Math.min(...readKept())).toBe(1200)
+    expect(Math.min(...readCachedTokens())).toBe(1200)
   })
 
   test('a location that is no longer used expires', async () => {
-    const { clock, nodes, readKept } = createFleet(size)
+    const { clock, nodes, readKept: readCachedTokens } = createFleet(size)
     nodes[0]!.api.record(PARTS, SERVER)
     await clock.advanceAndSettle(61_000)
-    expect(new Set(readKept())).toEqual(new Set([0]))
+    expect(new Set(readCachedTokens())).toEqual(new Set([0]))
   })
 
   // Announcements with each request would grow with the square of the number of nodes.
   test('a location that all nodes know is not announced with each request', async () => {
     const { clock, nodes, countMessages } = createFleet(size)
     nodes[0]!.api.record(PARTS, SERVER)
-    await clock.advanceAndSettle(TOLD_MS)
+    await clock.advanceAndSettle(ANNOUNCED_MS)
     const before = countMessages()
     for (let round = 0; round < 10; round++) {
       for (const { api } of nodes) api.record(PARTS, SERVER)
@@ -68,6 +68,6 @@
 test('in a large fleet one location is sent to a forwarder in each zone and from there to the nodes of the zone', async () => {
   const { clock, nodes, countMessages } = createFleet(40, 4)
   nodes[39]!.api.record(PARTS, SERVER)
-  await clock.advanceAndSettle(TOLD_MS)
+  await clock.advanceAndSettle(ANNOUNCED_MS)
   expect(countMessages()).toBe(4 + 4 * 9)
 })
