--- a/src/services/admission/index.ts
+++ b/src/services/admission/index.ts
@@ -58,7 +58,7 @@
  * @returns The service. It needs no start or stop.
  *
  * @example
- * const { api } = createAdmission({ clock, configuration, slotsForNode: () => 8 })
+ * const { api } = createAdmission({ clock, configuration, countSlots: () => 8 })
  * const admitted = await api.admit(demand)
  * if (admitted.ok) admitted.value.finish(120)
  */
--- a/src/services/loadView/index.ts
+++ b/src/services/loadView/index.ts
@@ -29,7 +29,7 @@
   readonly fleetLoad?: FleetLoad
 }
 
-/** `publishedCounts` returns the load that this node reports to others, for the exchange in a large fleet. */
+/** `readPublishedCounts` returns the load that this node reports to others, for the exchange in a large fleet. */
 export type RunningLoadView = RunningService<LoadView> & { readonly readPublishedCounts: () => ReadonlyMap<string, number> }
 
 export type LoadViewOptions = {
--- a/src/services/promptDirectory/_lib/createDirectoryRecovery.ts
+++ b/src/services/promptDirectory/_lib/createDirectoryRecovery.ts
@@ -16,7 +16,7 @@
   readonly logger: Logger
   readonly random: RandomSource
   readonly registry: Pick<InstanceRegistry, 'all'>
-  /** Whether the list of engines has been read; `onKnown` registers a listener for changes of this state. */
+  /** Whether the list of engines has been read; `onEnginesChange` registers a listener for changes of this state. */
   readonly areEnginesKnown: () => boolean
   readonly onEnginesChange: (listener: () => void) => void
   readonly memory: PromptCacheSource
--- a/src/services/promptDirectory/_lib/createLruOptions.ts
+++ b/src/services/promptDirectory/_lib/createLruOptions.ts
@@ -1,3 +1,3 @@
-/** Options of an LRU cache that grows on demand up to a number of entries; `max` would allocate memory for all entries at once. */
+/** Options of a cache that grows up to a number of entries. With `max`, it would allocate memory for all of them at the start. */
 export const createLruOptions = (maximumEntries: number): { readonly maxSize: number, readonly sizeCalculation: () => number } =>
   ({ maxSize: maximumEntries, sizeCalculation: () => 1 })
--- a/src/services/promptDirectory/index.ts
+++ b/src/services/promptDirectory/index.ts
@@ -58,7 +58,7 @@
  *
  * @example
  * const { api } = createPromptDirectory({ clock, transport, membership })
- * api.listKept([{ id: 'a', tokens: 100 }]).get('engine-1') // => undefined
+ * api.listCachedTokens([{ id: 'a', tokens: 100 }]).get('engine-1') // => undefined
  */
 export const createPromptDirectory = (dependencies: PromptDirectoryDependencies, options: PromptDirectoryOptions = defaultPromptDirectoryOptions): RunningService<PromptDirectory> => {
   const { clock, transport } = dependencies
