--- a/src/services/fleetLoad/index.ts
+++ b/src/services/fleetLoad/index.ts
@@ -38,7 +38,7 @@
 export type FleetLoadOptions = {
   /** Maximum number of peers at which each router sends its digests to all others instead. */
   readonly fullMeshPeers: number
-  /** Milliseconds between two snapshots; by default they grow with the number of backend servers. */
+  /** Milliseconds between two snapshots; by default the period grows with the number of backend servers. */
   readonly periodMs?: number
   /** Maximum number of nodes to which one router forwards a snapshot. */
   readonly fanOut?: number
