--- a/src/services/dispatch/_lib/requestResume.ts
+++ b/src/services/dispatch/_lib/requestResume.ts
@@ -1,4 +1,4 @@
-/** Requests the rest of a stream that was cut off from the same backend server. */
+/** Requests the rest of an interrupted stream from the backend server that sent it. */
 import type { BackendAnswer, BackendServer } from '../../../types/index.js'
 import { describeResume } from './describeExchange.js'
 import type { RequestContext } from './requestContext.js'
