--- a/src/bench/crowd/_lib/playCrowd.ts
+++ b/src/bench/crowd/_lib/playCrowd.ts
@@ -7,7 +7,7 @@
 import { createSeededRandom } from '../../../adapters/seededRandom/index.js'
 import { createKnowledgeFleet, type KnowledgeFleet } from '../../../emulator/createKnowledgeFleet/index.js'
 import { formatInstanceKey } from '../../../decisions/formatInstanceKey/index.js'
-import { chooseInstance } from '../../../services/forwarding/_lib/chooseInstance.js'
+import { selectInstance } from '../../../services/forwarding/_lib/selectInstance.js'
 import type { GatewayNode } from '../../../node/createGatewayNode/index.js'
 import type { BackendInstance, GatewayRequest, PromptPart } from '../../../types/index.js'
 
@@ -69,7 +69,7 @@
   receivedAt: now
 })
 
-const choose = (node: GatewayNode, request: GatewayRequest, random: () => number): BackendInstance | undefined => chooseInstance({
+const choose = (node: GatewayNode, request: GatewayRequest, random: () => number): BackendInstance | undefined => selectInstance({
   registry: node.resolve('instanceRegistry'),
   health: node.resolve('instanceHealth'),
   directory: node.resolve('promptDirectory'),
--- a/src/node/createGatewayNode/_lib/registerForwarding.ts
+++ b/src/node/createGatewayNode/_lib/registerForwarding.ts
@@ -3,7 +3,7 @@
 import { createForwarding, type ForwardingBounds } from '../../../services/forwarding/index.js'
 import { createInstanceHealth } from '../../../services/instanceHealth/index.js'
 import { createPromptDirectory, type DirectoryRecoverySources } from '../../../services/promptDirectory/index.js'
-import { createWarmUp } from '../../../services/warmUp/index.js'
+import { createWarmUpLimiter } from '../../../services/warmUpLimiter/index.js'
 import type { GatewaySettings } from '../../../types/index.js'
 import type { Kernel } from '../../../kernel/index.js'
 import type { GatewayNodeDependencies, GatewayServices } from '../index.js'
@@ -16,7 +16,7 @@
 
 const toBounds = (settings: GatewaySettings): ForwardingBounds => ({
   loadFactor: settings.loadFactor,
-  repeatLimits: { ratio: settings.retryRatio, extra: settings.retryExtra, windowMs: settings.retryWindowMs },
+  retryLimits: { ratio: settings.retryRatio, extra: settings.retryExtra, windowMs: settings.retryWindowMs },
   keyFreshnessMs: settings.keyRevocationMs > 0 ? settings.keyRevocationMs - KEY_REVOCATION_MARGIN_MS : Infinity,
   configurationFreshnessMs: settings.configurationDelayMs
 })
@@ -70,7 +70,7 @@
   kernel.register({
     name: 'warmUp',
     dependsOn: ['instanceRegistry', 'gatewayConfiguration', 'membership', 'zoneDrains'],
-    create: (resolve) => createWarmUp({
+    create: (resolve) => createWarmUpLimiter({
       clock,
       registry: resolve('instanceRegistry'),
       configuration: resolve('gatewayConfiguration'),
--- a/src/node/createGatewayNode/_lib/registerGauges.ts
+++ b/src/node/createGatewayNode/_lib/registerGauges.ts
@@ -23,8 +23,8 @@
   return (instance) => {
     if (instance.isLeaving) return 'leaving'
     if (zoneDrains.isDrained(instance.availabilityZone)) return 'drained'
-    if (health.isHeld(instance)) return 'held'
-    return warmUp.leftMs(instance) > 0 ? 'warming' : 'live'
+    if (health.isSuspended(instance)) return 'held'
+    return warmUp.remainingMs(instance) > 0 ? 'warming' : 'live'
   }
 }
 
--- a/src/node/createGatewayNode/index.ts
+++ b/src/node/createGatewayNode/index.ts
@@ -16,7 +16,7 @@
 import type { KnowledgeExchange } from '../../services/knowledgeExchange/index.js'
 import type { PromptDirectory } from '../../services/promptDirectory/index.js'
 import type { VmList } from '../../services/vmList/index.js'
-import type { WarmUp } from '../../services/warmUp/index.js'
+import type { WarmUpLimiter } from '../../services/warmUpLimiter/index.js'
 import type {
   Clock, ConfigurationSource, PromptCacheSource, Forwarding, GatewayConfigurationHolder, GatewaySettings, InstanceClient, InstanceRegistry, InstanceSource,
   LoadView, Logger, Membership, Metrics, PeerTransport, RandomSource, StartTimeline, ZoneDrains, ZoneDrainSource
@@ -53,7 +53,7 @@
   readonly loadView: LoadView
   readonly instanceHealth: InstanceHealth
   readonly promptDirectory: PromptDirectory
-  readonly warmUp: WarmUp
+  readonly warmUp: WarmUpLimiter
   readonly forwarding: Forwarding
 }
 
--- a/src/services/backendHealth/_lib/createLeavingMarkSet.ts
+++ b/src/services/backendHealth/_lib/createLeavingMarkSet.ts
@@ -13,64 +13,64 @@
   readonly merge: (mark: LeavingMark, now: number) => void
   readonly marks: () => readonly LeavingMark[]
   /** Marks for the next heartbeat: those that changed recently or, when there are none, a single mark in rotation. */
-  readonly takeNews: (now: number) => readonly LeavingMark[]
+  readonly selectForHeartbeat: (now: number) => readonly LeavingMark[]
 }
 
 export type LeavingMarkSetOptions = {
   /** Time for which its source must contradict a mark before it is cleared, in milliseconds. */
   readonly clearAfterMs: Readonly<Record<LeavingSource, number>>
   /** How long a changed mark is sent with every heartbeat, in milliseconds. */
-  readonly newsMs: number
+  readonly resendMs: number
 }
 
-type Entry = { sight: LeavingSight, changedAt: number }
+type Entry = { observed: LeavingSight, changedAt: number }
 
-const MAXIMUM_NEWS = 16
+const MAXIMUM_MARKS_PER_HEARTBEAT = 16
 const DEFAULT_SOURCE: LeavingSource = 'backendServer'
 
-const formatInstanceKey = (backendServer: string, source: LeavingSource): string => `${source} ${backendServer}`
+const formatMarkKey = (backendServer: string, source: LeavingSource): string => `${source} ${backendServer}`
 
-export const createLeavingMarkSet = ({ clearAfterMs, newsMs }: LeavingMarkSetOptions): LeavingMarkSet => {
+export const createLeavingMarkSet = ({ clearAfterMs, resendMs }: LeavingMarkSetOptions): LeavingMarkSet => {
   const entries = new Map<string, Entry>()
-  let turn = 0
+  let rotation = 0
 
   const findEntry = (backendServer: string, source: LeavingSource): Entry => {
-    const key = formatInstanceKey(backendServer, source)
+    const key = formatMarkKey(backendServer, source)
     const known = entries.get(key)
     if (known !== undefined) return known
-    const entry: Entry = { sight: {}, changedAt: -Infinity }
+    const entry: Entry = { observed: {}, changedAt: -Infinity }
     entries.set(key, entry)
     return entry
   }
 
-  const listMarks = (): readonly LeavingMark[] => [...entries.values()].flatMap(({ sight }) => sight.mark === undefined ? [] : [sight.mark])
+  const listMarks = (): readonly LeavingMark[] => [...entries.values()].flatMap(({ observed }) => observed.mark === undefined ? [] : [observed.mark])
 
-  const isNews = (entry: Entry, now: number): boolean => entry.sight.mark !== undefined && now - entry.changedAt < newsMs
+  const isRecentlyChanged = (entry: Entry, now: number): boolean => entry.observed.mark !== undefined && now - entry.changedAt < resendMs
 
-  const recall = (): readonly LeavingMark[] => {
+  const selectInRotation = (): readonly LeavingMark[] => {
     const marks = listMarks()
-    return marks.length === 0 ? [] : [marks[turn++ % marks.length]!]
+    return marks.length === 0 ? [] : [marks[rotation++ % marks.length]!]
   }
 
   return {
-    isLeaving: (backendServer) => SOURCES.some((source) => entries.get(formatInstanceKey(backendServer, source))?.sight.mark?.leaving === true),
+    isLeaving: (backendServer) => SOURCES.some((source) => entries.get(formatMarkKey(backendServer, source))?.observed.mark?.leaving === true),
     observe: (observation) => {
       const entry = findEntry(observation.backendServer, observation.source)
-      const before = entry.sight
-      entry.sight = observeLeaving(before, observation, clearAfterMs[observation.source])
-      if (entry.sight.mark !== before.mark) entry.changedAt = observation.observedAt
+      const before = entry.observed
+      entry.observed = observeLeaving(before, observation, clearAfterMs[observation.source])
+      if (entry.observed.mark !== before.mark) entry.changedAt = observation.observedAt
     },
     merge: (mark, now) => {
       const entry = findEntry(mark.backendServer, mark.source ?? DEFAULT_SOURCE)
-      const merged = mergeLeavingMark(entry.sight.mark, mark)
-      if (merged === entry.sight.mark) return
-      entry.sight = { mark: merged }
+      const merged = mergeLeavingMark(entry.observed.mark, mark)
+      if (merged === entry.observed.mark) return
+      entry.observed = { mark: merged }
       entry.changedAt = now
     },
     marks: listMarks,
-    takeNews: (now) => {
-      const news = [...entries.values()].filter((entry) => isNews(entry, now)).map(({ sight }) => sight.mark!)
-      return news.length === 0 ? recall() : news.slice(-MAXIMUM_NEWS)
+    selectForHeartbeat: (now) => {
+      const changed = [...entries.values()].filter((entry) => isRecentlyChanged(entry, now)).map(({ observed }) => observed.mark!)
+      return changed.length === 0 ? selectInRotation() : changed.slice(-MAXIMUM_MARKS_PER_HEARTBEAT)
     }
   }
 }
--- a/src/services/backendHealth/index.ts
+++ b/src/services/backendHealth/index.ts
@@ -54,7 +54,7 @@
 const DEFAULT_MAXIMUM_EJECTED_SHARE = 0.5
 const DEFAULT_PROBES_PER_SECOND = 3
 const TICK_MS = 250
-const NEWS_MS = 5000
+const RESEND_MARKS_MS = 5000
 /** Milliseconds after which a source that contradicts its own leaving mark clears it. The VM list lags by seconds; a server's own report is read in each interval. */
 const CLEAR_AFTER_MS: Readonly<Record<LeavingSource, number>> = { vmList: 30_000, backendServer: 5000 }
 
@@ -84,10 +84,10 @@
   const limits = options.limits ?? DEFAULT_EJECTION_LIMITS
   const maximumShare = options.maximumEjectedShare ?? DEFAULT_MAXIMUM_EJECTED_SHARE
   const ejections = new Map<string, Ejection>()
-  const markSet = createLeavingMarkSet({ clearAfterMs: CLEAR_AFTER_MS, newsMs: NEWS_MS })
-  let held: ReadonlySet<string> | undefined
+  const markSet = createLeavingMarkSet({ clearAfterMs: CLEAR_AFTER_MS, resendMs: RESEND_MARKS_MS })
+  let ejectedServers: ReadonlySet<string> | undefined
   let timer: Timer | undefined
-  let isAssignmentOld = true
+  let isAssignmentStale = true
 
   const listServers = (): readonly BackendServer[] => configuration.current()?.sheet.backendServers ?? []
 
@@ -97,20 +97,20 @@
     if (after === before) return
     ejections.set(backendServer, after)
     if (after.phase === before.phase) return
-    held = undefined
+    ejectedServers = undefined
     logger?.info('backend server changed', { backendServer, phase: after.phase, cause: after.cause, ejections: after.ejections })
   }
 
-  const isStopped = (backendServer: string): boolean => {
+  const hasPlannedStop = (backendServer: string): boolean => {
     const stops = configuration.current()?.sheet.plannedStops ?? []
     if (stops.length === 0) return false
     const zone = listServers().find(({ name }) => name === backendServer)?.availabilityZone
     return stops.some((stop) => covers(stop, backendServer, zone) && isInForce(stop, clock.wallTime()))
   }
 
-  const isLeaving = (backendServer: string): boolean => markSet.isLeaving(backendServer) || isStopped(backendServer)
+  const isLeaving = (backendServer: string): boolean => markSet.isLeaving(backendServer) || hasPlannedStop(backendServer)
 
-  const findHeld = (): ReadonlySet<string> => {
+  const selectEjected = (): ReadonlySet<string> => {
     const servers = listServers().filter((server) => !isLeaving(server.name))
     const services = [...new Set(servers.map((server) => server.service))]
     return new Set(services.flatMap((service) => [...limitEjections(servers.filter((server) => server.service === service).map(toCandidate), maximumShare)]))
@@ -124,8 +124,8 @@
   const findState = (backendServer: string, ejection: Ejection): BackendServerState => {
     if (isLeaving(backendServer)) return 'leaving'
     if (ejection.phase !== 'ejected') return ejection.phase
-    held ??= findHeld()
-    if (!held.has(backendServer)) return 'live'
+    ejectedServers ??= selectEjected()
+    if (!ejectedServers.has(backendServer)) return 'live'
     return ejection.cause === 'unreachable' ? 'unreachable' : 'ejected'
   }
 
@@ -146,7 +146,7 @@
 
   const observe = (backendServer: string, source: LeavingSource, leaving: boolean, ageMs = 0): void => {
     markSet.observe({ backendServer, source, leaving, observedAt: clock.now() - ageMs, wallTime: clock.wallTime() })
-    held = undefined
+    ejectedServers = undefined
   }
 
   const onReport = (server: BackendServer, result: Result<LoadReport, BackendError>): void => {
@@ -173,19 +173,19 @@
     probesPerSecond: options.probesPerSecond ?? DEFAULT_PROBES_PER_SECOND
   })
 
-  const markAssignmentOld = (): void => { isAssignmentOld = true }
+  const markAssignmentStale = (): void => { isAssignmentStale = true }
 
   // Assigned once in each tick: a burst of changes, as when a zone is lost, costs one assignment in all.
   const assignProbes = (): void => {
-    if (!isAssignmentOld) return
-    isAssignmentOld = false
+    if (!isAssignmentStale) return
+    isAssignmentStale = false
     probes.assign(listServers(), membership.liveMembers())
   }
 
   const tick = (): void => {
     for (const backendServer of ejections.keys()) advance(backendServer, 'tick')
     // Planned stops begin and end by the clock alone.
-    held = undefined
+    ejectedServers = undefined
     assignProbes()
     timer = clock.setTimer(TICK_MS, tick)
   }
@@ -193,15 +193,15 @@
   const onConfiguration = (): void => {
     const names = new Set(listServers().map((server) => server.name))
     for (const backendServer of ejections.keys()) if (!names.has(backendServer)) ejections.delete(backendServer)
-    held = undefined
-    markAssignmentOld()
+    ejectedServers = undefined
+    markAssignmentStale()
     const vms = vmList.current()
     if (vms !== undefined) onVms(vms)
   }
 
   const mergeLeavingMarks: BackendHealth['mergeLeavingMarks'] = (marks) => {
     for (const mark of marks) markSet.merge(mark, clock.now())
-    held = undefined
+    ejectedServers = undefined
   }
 
   return {
@@ -216,12 +216,12 @@
     },
     start: () => {
       exchange.addContributor(() => {
-        const leavingMarks = markSet.takeNews(clock.now())
+        const leavingMarks = markSet.selectForHeartbeat(clock.now())
         return leavingMarks.length === 0 ? {} : { leavingMarks }
       })
       exchange.addListener((heartbeat) => mergeLeavingMarks(heartbeat.leavingMarks ?? []))
       configuration.onChange(onConfiguration)
-      membership.onChange(markAssignmentOld)
+      membership.onChange(markAssignmentStale)
       vmList.onRead(onVms)
       onConfiguration()
       tick()
--- a/src/services/claims/_lib/createBackgroundEntries.ts
+++ b/src/services/claims/_lib/createBackgroundEntries.ts
@@ -13,7 +13,7 @@
 const MAXIMUM_ENTRIES = 5_000
 
 /** Attempts for each entry after the shutdown began; `outagePauseMs` lies between them. */
-const STOP_ATTEMPTS = 2
+const SHUTDOWN_ATTEMPTS = 2
 
 export type BackgroundEntries = {
   /** Resolves once the entry is in the log, or was dropped. */
@@ -25,9 +25,9 @@
 export const createBackgroundEntries = (dependencies: ClaimsDependencies, router: EntryRouter): BackgroundEntries => {
   const { clock, logger, options } = dependencies
   const waiting = new Map<string, { readonly entry: BackgroundEntry, readonly settle: () => void }>()
-  let isStopping = false
+  let isShuttingDown = false
 
-  const giveUp = (claimId: string): void => {
+  const settleEntry = (claimId: string): void => {
     waiting.get(claimId)?.settle()
     waiting.delete(claimId)
   }
@@ -35,22 +35,22 @@
   const pause = (): Promise<void> => new Promise((resolve) => { clock.setTimer(options.outagePauseMs, resolve) })
 
   const write = async (entry: BackgroundEntry): Promise<void> => {
-    let attemptsWhileStopping = 0
+    let shutdownAttempts = 0
     while (waiting.has(entry.claimId)) {
       const result = await router.submit(entry, false)
       if (result.ok) break
-      if (isStopping) attemptsWhileStopping += 1
-      if (attemptsWhileStopping >= STOP_ATTEMPTS) break
+      if (isShuttingDown) shutdownAttempts += 1
+      if (shutdownAttempts >= SHUTDOWN_ATTEMPTS) break
       await pause()
     }
-    giveUp(entry.claimId)
+    settleEntry(entry.claimId)
   }
 
   const dropOldest = (): void => {
     const [oldest] = waiting.keys()
     if (waiting.size < MAXIMUM_ENTRIES || oldest === undefined) return
     logger.warn('oldest waiting claim entry dropped: too many entries wait for the platform', { claimId: oldest })
-    giveUp(oldest)
+    settleEntry(oldest)
   }
 
   const add = (entry: BackgroundEntry): Promise<void> => {
@@ -65,7 +65,7 @@
     add,
     find: (keyId) => [...waiting.values()].map(({ entry }) => entry).find((entry) => entry.keyId === keyId),
     stop: async () => {
-      isStopping = true
+      isShuttingDown = true
       while (waiting.size > 0) await pause()
     }
   }
--- a/src/services/claims/_lib/createEntryRouter.ts
+++ b/src/services/claims/_lib/createEntryRouter.ts
@@ -15,11 +15,11 @@
 import { createShardLog } from './createShardLog.js'
 import type { ShardLogError } from './createShardLog.js'
 import { createShardQueue } from './createShardQueue.js'
-import type { EntryVerdict, ShardQueue } from './createShardQueue.js'
+import type { EntryResult, ShardQueue } from './createShardQueue.js'
 import { layoutName } from './objectNames.js'
 
 /** Shards whose records a node keeps in memory; an evicted one is read again when it is needed. */
-const MAXIMUM_SHARDS_HELD = 256
+const MAXIMUM_SHARDS_IN_MEMORY = 256
 
 const DEFAULT_KEPT_BATCHES = 16
 
@@ -27,14 +27,14 @@
 
 export type EntryRouter = {
   /** Writes one entry to the log of its shard. `urgent` entries are refused at once while the platform is known to be down. */
-  readonly submit: (entry: ClaimEntry, urgent: boolean) => Promise<Result<EntryVerdict, ShardLogError>>
+  readonly submit: (entry: ClaimEntry, urgent: boolean) => Promise<Result<EntryResult, ShardLogError>>
   readonly isIdle: () => boolean
 }
 
 export const createEntryRouter = (dependencies: ClaimsDependencies): EntryRouter => {
   const { clock, random, platform, transport, membership, logger, options } = dependencies
   const gate = createPlatformGate(clock, options.outagePauseMs)
-  const queues = new LRUCache<number, ShardQueue>({ max: MAXIMUM_SHARDS_HELD })
+  const queues = new LRUCache<number, ShardQueue>({ max: MAXIMUM_SHARDS_IN_MEMORY })
   let shardCount: number | undefined
 
   const selectWriter = (shard: number): Member | undefined => {
@@ -69,7 +69,7 @@
     return shardCount
   }
 
-  const askWriter = async (writer: Member, shard: number, entry: ClaimEntry): Promise<Result<EntryVerdict, ShardLogError>> => {
+  const requestAppend = async (writer: Member, shard: number, entry: ClaimEntry): Promise<Result<EntryResult, ShardLogError>> => {
     const message = { kind: 'claimAppend', shard, entries: [entryCodec.encode(entry)] } as const
     const reply = await transport.request(writer.address, message, options.peerTimeoutMs)
     if (reply.ok && reply.value.kind === 'claimAppended') {
@@ -79,20 +79,20 @@
     return failure({ kind: 'outcomeUnknown', message: `writer ${writer.nodeId} of claim shard ${shard} did not append` })
   }
 
-  const submitHere = async (shard: number, entry: ClaimEntry, urgent: boolean): Promise<Result<EntryVerdict, ShardLogError>> => {
-    if (urgent && !gate.enter()) return failure({ kind: 'notWritten', message: 'the platform is down' })
+  const submitHere = async (shard: number, entry: ClaimEntry, urgent: boolean): Promise<Result<EntryResult, ShardLogError>> => {
+    if (urgent && !gate.tryEnter()) return failure({ kind: 'notWritten', message: 'the platform is down' })
     return await findQueue(shard).submit(entry)
   }
 
-  const submit = async (entry: ClaimEntry, urgent: boolean): Promise<Result<EntryVerdict, ShardLogError>> => {
-    if (shardCount === undefined && urgent && !gate.enter()) return failure({ kind: 'notWritten', message: 'the platform is down' })
+  const submit = async (entry: ClaimEntry, urgent: boolean): Promise<Result<EntryResult, ShardLogError>> => {
+    if (shardCount === undefined && urgent && !gate.tryEnter()) return failure({ kind: 'notWritten', message: 'the platform is down' })
     const shards = await readShardCount()
     if (shards === undefined) return failure({ kind: 'notWritten', message: 'the layout of the claim log cannot be read' })
     const shard = selectClaimShard(entry.keyId, shards)
     const writer = selectWriter(shard)
     if (writer === undefined || writer.nodeId === membership.self().nodeId) return await submitHere(shard, entry, urgent)
-    const asked = await askWriter(writer, shard, entry)
-    if (asked.ok) return asked
+    const appended = await requestAppend(writer, shard, entry)
+    if (appended.ok) return appended
     const result = await submitHere(shard, entry, urgent)
     // The writer may still append the entry although its reply did not arrive.
     return result.ok ? result : failure({ kind: 'outcomeUnknown', message: result.error.message })
--- a/src/services/claims/_lib/answerNotKept.ts
+++ b/src/services/claims/_lib/createNotKeptAnswer.ts
@@ -3,7 +3,7 @@
 const CONFLICT_STATUS = 409
 
 /** Answer to a duplicate request when the original was completed but its answer was too large to store: it ran and is not run again. */
-export const answerNotKept = (): StoredAnswer => ({
+export const createNotKeptAnswer = (): StoredAnswer => ({
   status: CONFLICT_STATUS,
   headers: { 'content-type': 'application/json', 'x-should-retry': 'false' },
   body: new TextEncoder().encode(JSON.stringify({
--- a/src/services/claims/_lib/createOutcomeExchange.ts
+++ b/src/services/claims/_lib/createOutcomeExchange.ts
@@ -11,7 +11,7 @@
 
 export type OutcomeExchange = {
   /** Returns the answer when the holder responds and has completed the request, `undefined` otherwise. */
-  readonly askHolder: (key: ClaimKey, record: ClaimRecord) => Promise<StoredAnswer | undefined>
+  readonly requestFromHolder: (key: ClaimKey, record: ClaimRecord) => Promise<StoredAnswer | undefined>
 }
 
 export const createOutcomeExchange = (dependencies: ClaimsDependencies, background: BackgroundEntries): OutcomeExchange => {
@@ -25,7 +25,7 @@
 
   transport.handle('claimOutcome', (message) => answerPeer(message.key))
 
-  const askHolder = async (key: ClaimKey, record: ClaimRecord): Promise<StoredAnswer | undefined> => {
+  const requestFromHolder = async (key: ClaimKey, record: ClaimRecord): Promise<StoredAnswer | undefined> => {
     if (record.holder === membership.self().nodeId) return undefined
     const holder = membership.members().find((member) => member.nodeId === record.holder && member.state !== 'dead')
     if (holder === undefined) return undefined
@@ -36,5 +36,5 @@
     return entry.answer
   }
 
-  return { askHolder }
+  return { requestFromHolder }
 }
--- a/src/services/claims/_lib/createPlatformGate.ts
+++ b/src/services/claims/_lib/createPlatformGate.ts
@@ -7,7 +7,7 @@
 
 export type PlatformGate = {
   /** Whether an attempt may be made now; returning true counts as the attempt. */
-  readonly enter: () => boolean
+  readonly tryEnter: () => boolean
   readonly record: (isUp: boolean) => void
 }
 
@@ -22,7 +22,7 @@
   let isUp = true
   let nextAttemptAt = 0
   return {
-    enter: () => {
+    tryEnter: () => {
       if (isUp) return true
       if (clock.now() < nextAttemptAt) return false
       nextAttemptAt = clock.now() + pauseMs
--- a/src/services/claims/_lib/createShardLog.test.ts
+++ b/src/services/claims/_lib/createShardLog.test.ts
@@ -8,7 +8,7 @@
 import type { ClaimSnapshot } from './codecs.js'
 import { createShardLog } from './createShardLog.js'
 import type { ShardLog } from './createShardLog.js'
-import { batchName, floorName, partPrefix, snapshotName } from './objectNames.js'
+import { formatBatchName, formatFloorName, formatPartPrefix, formatSnapshotName } from './objectNames.js'
 import { pruneShard } from './pruneShard.js'
 import { readSnapshot } from './snapshots.js'
 
@@ -39,7 +39,7 @@
     await ahead.append([createClaim('order', 'ahead')])
     await prune(platform, ahead.toSnapshot()!)
     await ahead.append([createClaim('later key', 'ahead')])
-    expect((await platform.createObject(batchName(SHARD, 1), strayBatch)).ok).toBe(true)
+    expect((await platform.createObject(formatBatchName(SHARD, 1), strayBatch)).ok).toBe(true)
     await behind.append([createClaim('order', 'behind')])
     expect(behind.findRecord('order')?.claimId).toBe('ahead')
   })
@@ -48,9 +48,9 @@
     const { platform, createLog } = createLogs()
     const log = createLog()
     await log.append([createClaim('order', 'log')])
-    const withoutFloor = { ...platform, createObject: async (name: string, bytes: Uint8Array) => name === floorName(SHARD) ? { ok: false, error: { kind: 'outcomeUnknown', message: '' } } as const : platform.createObject(name, bytes) }
+    const withoutFloor = { ...platform, createObject: async (name: string, bytes: Uint8Array) => name === formatFloorName(SHARD) ? { ok: false, error: { kind: 'outcomeUnknown', message: '' } } as const : platform.createObject(name, bytes) }
     expect(await prune(withoutFloor, log.toSnapshot()!)).toBe('failed')
-    expect(await platform.readObject(batchName(SHARD, 0))).toMatchObject({ value: { name: batchName(SHARD, 0) } })
+    expect(await platform.readObject(formatBatchName(SHARD, 0))).toMatchObject({ value: { name: formatBatchName(SHARD, 0) } })
   })
 
   it('never replaces a snapshot by an older one', async () => {
@@ -86,7 +86,7 @@
       await log.append([createClaim(`key ${round}`, 'log')])
       await prune(platform, log.toSnapshot()!)
     }
-    const parts = await platform.listObjects(partPrefix(SHARD))
+    const parts = await platform.listObjects(formatPartPrefix(SHARD))
     expect(parts.ok && parts.value.objects.length).toBe(1)
   })
 
@@ -99,7 +99,7 @@
     const racing: Platform = {
       ...platform,
       readObject: async (name) => {
-        if (name.startsWith(partPrefix(SHARD)) && !isReplaced) {
+        if (name.startsWith(formatPartPrefix(SHARD)) && !isReplaced) {
           isReplaced = true
           await log.append([createClaim('later key', 'log')])
           await prune(platform, log.toSnapshot()!)
@@ -124,13 +124,13 @@
 
   it('folds nothing from a damaged batch', async () => {
     const { platform, createLog } = createLogs()
-    await platform.createObject(batchName(SHARD, 0), new Uint8Array([1, 2, 3]))
+    await platform.createObject(formatBatchName(SHARD, 0), new Uint8Array([1, 2, 3]))
     expect(await createLog().append([createClaim('order', 'log')])).toMatchObject({ ok: false })
   })
 
   it('folds nothing onto a damaged snapshot', async () => {
     const { platform, createLog } = createLogs()
-    await platform.createObject(snapshotName(SHARD), new Uint8Array([1, 2, 3]))
+    await platform.createObject(formatSnapshotName(SHARD), new Uint8Array([1, 2, 3]))
     expect(await createLog().append([createClaim('order', 'log')])).toMatchObject({ ok: false, error: { kind: 'notWritten' } })
   })
 
--- a/src/services/claims/_lib/createShardLog.ts
+++ b/src/services/claims/_lib/createShardLog.ts
@@ -27,7 +27,7 @@
 import type { ClaimSnapshot } from './codecs.js'
 import { createShardState } from './createShardState.js'
 import type { ShardState } from './createShardState.js'
-import { batchName, floorName } from './objectNames.js'
+import { formatBatchName, formatFloorName } from './objectNames.js'
 import { readSnapshot } from './snapshots.js'
 
 /** More lost races than this in one append indicate another fault. */
@@ -81,8 +81,8 @@
   /** Every number below this one is known to be folded from its original batch. */
   let verifiedThrough = 0
   /** Id of this node's own batch during an append, to recognise it among the batches that are read. */
-  let awaitedBatchId: string | undefined
-  let isAwaitedBatchFolded = false
+  let ownBatchId: string | undefined
+  let isOwnBatchFolded = false
 
   const load = async (): Promise<Result<undefined, ShardLogError>> => {
     if (isLoaded) return success(undefined)
@@ -97,7 +97,7 @@
   }
 
   const readNext = async (): Promise<Step> => {
-    const read = await platform.readObject(batchName(shard, next))
+    const read = await platform.readObject(formatBatchName(shard, next))
     if (!read.ok) return failure(notWritten(`claim batch ${next} of shard ${shard} cannot be read: ${read.error.kind}`))
     if (read.value === undefined) return success('absent')
     const batch = batchCodec.decode(read.value.bytes)
@@ -109,7 +109,7 @@
   const fold = (batch: ClaimBatch): void => {
     state.fold(batch)
     next += 1
-    if (batch.batchId === awaitedBatchId) isAwaitedBatchFolded = true
+    if (batch.batchId === ownBatchId) isOwnBatchFolded = true
   }
 
   const readToEnd = async (): Promise<Result<undefined, ShardLogError>> => {
@@ -122,7 +122,7 @@
 
   /** Returns false, and drops the state, when pruning may have affected what was folded. */
   const verifyAgainstFloor = async (): Promise<Result<boolean, ShardLogError>> => {
-    const read = await platform.readObject(floorName(shard))
+    const read = await platform.readObject(formatFloorName(shard))
     if (!read.ok) return failure(outcomeUnknown(`the floor of claim shard ${shard} cannot be read: ${read.error.kind}`))
     const floor = read.value === undefined ? { floor: 0 } : floorCodec.decode(read.value.bytes)
     if (floor === undefined) return failure(outcomeUnknown(`the floor of claim shard ${shard} is damaged`))
@@ -151,23 +151,23 @@
   /** Tries to write the batch at the end of the log, as this node sees it. */
   const writeAtEnd = async (batch: ClaimBatch, bytes: Uint8Array): Promise<Result<undefined, ShardLogError>> => {
     let mayBeWritten = false
-    const blame = (message: string): ShardLogError => mayBeWritten ? outcomeUnknown(message) : notWritten(message)
+    const toError = (message: string): ShardLogError => mayBeWritten ? outcomeUnknown(message) : notWritten(message)
     for (let attempt = 0; attempt < MAXIMUM_APPEND_ATTEMPTS; attempt += 1) {
-      const created = await platform.createObject(batchName(shard, next), bytes)
+      const created = await platform.createObject(formatBatchName(shard, next), bytes)
       if (created.ok) {
         fold(batch)
         return success(undefined)
       }
-      if (created.error.kind === 'unavailable' || created.error.kind === 'rejected') return failure(blame(created.error.message))
+      if (created.error.kind === 'unavailable' || created.error.kind === 'rejected') return failure(toError(created.error.message))
       // The reply was lost: the batch may be there, or arrive later. It can only
       // ever take this number, so reading the number back and, where it is free,
       // creating it again with the same bytes cannot write it twice.
       if (created.error.kind === 'outcomeUnknown') mayBeWritten = true
       const end = await readToEnd()
-      if (!end.ok) return failure(blame(end.error.message))
-      if (isAwaitedBatchFolded) return success(undefined)
+      if (!end.ok) return failure(toError(end.error.message))
+      if (isOwnBatchFolded) return success(undefined)
     }
-    return failure(blame(`claim shard ${shard} was written by others ${MAXIMUM_APPEND_ATTEMPTS} times in a row`))
+    return failure(toError(`claim shard ${shard} was written by others ${MAXIMUM_APPEND_ATTEMPTS} times in a row`))
   }
 
   const append = async (entries: readonly ClaimEntry[]): Promise<Result<undefined, ShardLogError>> => {
@@ -176,11 +176,11 @@
     const bytes = batchCodec.encode(batch)
     let isWritten = false
     for (let attempt = 0; attempt < MAXIMUM_APPEND_ATTEMPTS; attempt += 1) {
-      awaitedBatchId = batch.batchId
-      isAwaitedBatchFolded = false
+      ownBatchId = batch.batchId
+      isOwnBatchFolded = false
       const loaded = await load()
       const written = loaded.ok ? await writeAtEnd(batch, bytes) : loaded
-      awaitedBatchId = undefined
+      ownBatchId = undefined
       if (!written.ok) return isWritten ? failure(outcomeUnknown(written.error.message)) : written
       isWritten = true
       const verified = await verifyAgainstFloor()
--- a/src/services/claims/_lib/createShardQueue.ts
+++ b/src/services/claims/_lib/createShardQueue.ts
@@ -22,10 +22,10 @@
 const RECORDS_PER_INTERVAL = 10_000
 
 /** The record of the entry's key after the entry was written to the log. */
-export type EntryVerdict = { readonly record?: ClaimRecord | undefined }
+export type EntryResult = { readonly record?: ClaimRecord | undefined }
 
 export type ShardQueue = {
-  readonly submit: (entry: ClaimEntry) => Promise<Result<EntryVerdict, ShardLogError>>
+  readonly submit: (entry: ClaimEntry) => Promise<Result<EntryResult, ShardLogError>>
   readonly findRecord: (keyId: string) => ClaimRecord | undefined
   readonly isIdle: () => boolean
 }
@@ -49,7 +49,7 @@
 
 type QueuedEntry = {
   readonly entry: ClaimEntry
-  readonly settle: (result: Result<EntryVerdict, ShardLogError>) => void
+  readonly settle: (result: Result<EntryResult, ShardLogError>) => void
 }
 
 const measureEntry = (entry: ClaimEntry): number =>
--- a/src/services/claims/_lib/pruneShard.ts
+++ b/src/services/claims/_lib/pruneShard.ts
@@ -7,13 +7,13 @@
 import type { ObjectVersion, Platform, RandomSource } from '../../../types/index.js'
 import { floorCodec, snapshotRootCodec } from './codecs.js'
 import type { ClaimSnapshot } from './codecs.js'
-import { batchName, floorName, partEnd, partPrefix, shardPrefix, snapshotName } from './objectNames.js'
+import { formatBatchName, formatFloorName, formatPartEnd, formatPartPrefix, formatShardPrefix, formatSnapshotName } from './objectNames.js'
 import { writeSnapshotParts } from './snapshots.js'
 
-type Raise = 'written' | 'higherAlready' | 'failed'
+type RaiseOutcome = 'written' | 'higherAlready' | 'failed'
 
 /** Raises the number that an object holds. Succeeds only with a confirmed write, or when the stored number is at least as high. */
-const raise = async (platform: Platform, name: string, value: number, readValue: (bytes: Uint8Array) => number | undefined, bytes: Uint8Array): Promise<Raise> => {
+const raise = async (platform: Platform, name: string, value: number, readValue: (bytes: Uint8Array) => number | undefined, bytes: Uint8Array): Promise<RaiseOutcome> => {
   const read = await platform.readObject(name)
   if (!read.ok) return 'failed'
   if (read.value === undefined) return (await platform.createObject(name, bytes)).ok ? 'written' : 'failed'
@@ -31,8 +31,8 @@
 }
 
 const deleteBatchesBelow = async (platform: Platform, shard: number, floor: number): Promise<void> => {
-  const firstKept = batchName(shard, floor)
-  const list = await platform.listObjects(shardPrefix(shard))
+  const firstKept = formatBatchName(shard, floor)
+  const list = await platform.listObjects(formatShardPrefix(shard))
   // Batch names are digits of one width, so those below the floor sort first.
   if (list.ok) await deleteAll(platform, list.value.objects.filter(({ name }) => name < firstKept))
 }
@@ -44,8 +44,8 @@
  * belong to another pruner that has not written its root yet.
  */
 const deletePartsUpTo = async (platform: Platform, shard: number, floor: number, kept: readonly string[]): Promise<void> => {
-  const end = partEnd(shard, floor)
-  const list = await platform.listObjects(partPrefix(shard))
+  const end = formatPartEnd(shard, floor)
+  const list = await platform.listObjects(formatPartPrefix(shard))
   if (list.ok) await deleteAll(platform, list.value.objects.filter(({ name }) => name < end && !kept.includes(name)))
 }
 
@@ -70,10 +70,10 @@
   const parts = await writeSnapshotParts(platform, random, shard, snapshot)
   if (parts === undefined) return 'failed'
   const root = snapshotRootCodec.encode({ floor: snapshot.floor, forgetBefore: snapshot.forgetBefore, parts })
-  const saved = await raise(platform, snapshotName(shard), snapshot.floor, (stored) => snapshotRootCodec.decode(stored)?.floor, root)
+  const saved = await raise(platform, formatSnapshotName(shard), snapshot.floor, (stored) => snapshotRootCodec.decode(stored)?.floor, root)
   if (saved === 'failed') return 'failed'
   const floor = Math.max(0, snapshot.floor - keptBatches)
-  const raised = await raise(platform, floorName(shard), floor, (stored) => floorCodec.decode(stored)?.floor, floorCodec.encode({ floor }))
+  const raised = await raise(platform, formatFloorName(shard), floor, (stored) => floorCodec.decode(stored)?.floor, floorCodec.encode({ floor }))
   if (raised === 'failed') return 'failed'
   await deleteBatchesBelow(platform, shard, floor)
   if (saved === 'written') await deletePartsUpTo(platform, shard, snapshot.floor, parts)
--- a/src/services/claims/_lib/snapshots.ts
+++ b/src/services/claims/_lib/snapshots.ts
@@ -7,7 +7,7 @@
 import type { Platform, RandomSource, Result } from '../../../types/index.js'
 import { snapshotPartCodec, snapshotRootCodec } from './codecs.js'
 import type { ClaimSnapshot, ClaimSnapshotPart } from './codecs.js'
-import { partName, snapshotName } from './objectNames.js'
+import { formatPartName, formatSnapshotName } from './objectNames.js'
 
 /** Entries in one part; parts with answers are also limited by the size of the answers. */
 const MAXIMUM_PART_ENTRIES = 2_000
@@ -49,7 +49,7 @@
   const snapshotId = random.nextId()
   const names: string[] = []
   for (const [index, part] of splitIntoParts(snapshot).entries()) {
-    const name = partName(shard, snapshot.floor, snapshotId, index)
+    const name = formatPartName(shard, snapshot.floor, snapshotId, index)
     const created = await platform.createObject(name, snapshotPartCodec.encode(part))
     if (!created.ok) return undefined
     names.push(name)
@@ -61,7 +61,7 @@
 
 /** Returns `replaced` when a part no longer exists: a newer snapshot has replaced this one. */
 const readOnce = async (platform: Platform, shard: number): Promise<ReadOutcome | 'replaced'> => {
-  const read = await platform.readObject(snapshotName(shard))
+  const read = await platform.readObject(formatSnapshotName(shard))
   if (!read.ok) return failure(`cannot be read: ${read.error.kind}`)
   if (read.value === undefined) return success(undefined)
   const root = snapshotRootCodec.decode(read.value.bytes)
--- a/src/services/claims/index.ts
+++ b/src/services/claims/index.ts
@@ -10,7 +10,7 @@
 import type { ClaimRecord } from '../../decisions/foldClaims/index.js'
 import type { ClaimKey, ClaimOutcome, Claims, Clock, Logger, Membership, Metrics, PeerTransport, Platform, RandomSource, StoredAnswer } from '../../types/index.js'
 import type { RunningService } from '../../kernel/index.js'
-import { answerNotKept } from './_lib/answerNotKept.js'
+import { createNotKeptAnswer } from './_lib/createNotKeptAnswer.js'
 import { createBackgroundEntries } from './_lib/createBackgroundEntries.js'
 import { createEntryRouter } from './_lib/createEntryRouter.js'
 import { createOpenClaims } from './_lib/createOpenClaims.js'
@@ -65,15 +65,15 @@
   const openClaims = createOpenClaims()
   const exchange = createOutcomeExchange(dependencies, background)
 
-  const judgeRecord = async (key: ClaimKey, record: ClaimRecord, bodyHash: string): Promise<ClaimOutcome> => {
+  const evaluateRecord = async (key: ClaimKey, record: ClaimRecord, bodyHash: string): Promise<ClaimOutcome> => {
     if (record.bodyHash !== bodyHash) return { kind: 'keyReused' }
-    if (record.state === 'complete') return { kind: 'answered', answer: record.answer ?? answerNotKept() }
-    const answer = await exchange.askHolder(key, record)
+    if (record.state === 'complete') return { kind: 'answered', answer: record.answer ?? createNotKeptAnswer() }
+    const answer = await exchange.requestFromHolder(key, record)
     if (answer !== undefined) return { kind: 'answered', answer }
     return { kind: 'claimedElsewhere', holder: record.holder }
   }
 
-  const claimFirst = async (key: ClaimKey, keyId: string, bodyHash: string): Promise<ClaimOutcome> => {
+  const claimInLog = async (key: ClaimKey, keyId: string, bodyHash: string): Promise<ClaimOutcome> => {
     const claimId = random.nextId()
     const holder = membership.self().nodeId
     openClaims.open(keyId, claimId, bodyHash)
@@ -85,10 +85,10 @@
     openClaims.end(keyId, claimId, { kind: 'released' })
     if (!result.ok) return { kind: 'unavailable', message: result.error.message }
     if (result.value.record === undefined) return { kind: 'unavailable', message: 'the claim is missing in the log after the write' }
-    return await judgeRecord(key, result.value.record, bodyHash)
+    return await evaluateRecord(key, result.value.record, bodyHash)
   }
 
-  const whenEndedOrLate = (open: OpenClaim, waitUntil: number): Promise<OpenClaimEnd | undefined> =>
+  const waitForEnd = (open: OpenClaim, waitUntil: number): Promise<OpenClaimEnd | undefined> =>
     new Promise((resolve) => {
       const timer = clock.setTimer(Math.max(0, waitUntil - clock.now()), () => { resolve(undefined) })
       open.whenEnded.then((end) => {
@@ -97,15 +97,15 @@
       })
     })
 
-  const judgeEnded = (ended: EndedClaim, bodyHash: string): ClaimOutcome => {
+  const evaluateEnded = (ended: EndedClaim, bodyHash: string): ClaimOutcome => {
     if (ended.bodyHash !== bodyHash) return { kind: 'keyReused' }
     if (ended.end.kind === 'completed') return { kind: 'answered', answer: ended.end.answer }
     return { kind: 'claimedElsewhere', holder: membership.self().nodeId }
   }
 
-  const joinOpen = async (open: OpenClaim, bodyHash: string, waitUntil: number | undefined): Promise<ClaimOutcome | 'released'> => {
+  const waitForOpenClaim = async (open: OpenClaim, bodyHash: string, waitUntil: number | undefined): Promise<ClaimOutcome | 'released'> => {
     if (open.bodyHash !== bodyHash) return { kind: 'keyReused' }
-    const end = waitUntil === undefined ? undefined : await whenEndedOrLate(open, waitUntil)
+    const end = waitUntil === undefined ? undefined : await waitForEnd(open, waitUntil)
     if (end?.kind === 'completed') return { kind: 'answered', answer: end.answer }
     if (end?.kind === 'released') return 'released'
     return { kind: 'claimedElsewhere', holder: membership.self().nodeId }
@@ -115,10 +115,10 @@
     const keyId = formatKeyId(key)
     for (;;) {
       const ended = openClaims.findEnded(keyId)
-      if (ended !== undefined) return judgeEnded(ended, bodyHash)
+      if (ended !== undefined) return evaluateEnded(ended, bodyHash)
       const open = openClaims.find(keyId)
-      if (open === undefined) return await claimFirst(key, keyId, bodyHash)
-      const joined = await joinOpen(open, bodyHash, waitUntil)
+      if (open === undefined) return await claimInLog(key, keyId, bodyHash)
+      const joined = await waitForOpenClaim(open, bodyHash, waitUntil)
       if (joined !== 'released') return joined
     }
   }
--- a/src/services/claims/interleavings.test.ts
+++ b/src/services/claims/interleavings.test.ts
@@ -33,7 +33,7 @@
   { weight: 4, arbitrary: fc.record({ kind: fc.constant('wait' as const), ms: fc.integer({ min: 1, max: 60 }) }) }
 )
 
-type Run = {
+type Interleaving = {
   readonly cluster: ClaimNodes
   readonly nodes: ClaimNode[]
   /** Number of grants by key whose request was sent; must never exceed one. */
@@ -42,11 +42,11 @@
   readonly problems: string[]
 }
 
-const formatInstanceKey = (index: number) => ({ clientAccount: 'deli', idempotencyKey: KEYS[index]! })
+const createKey = (index: number) => ({ clientAccount: 'deli', idempotencyKey: KEYS[index]! })
 
 /** Claims a key, and then either sends the request or releases the claim. */
-const claimOnce = async (run: Run, claimant: ClaimNode, keyIndex: number, sends: boolean): Promise<void> => {
-  const key = formatInstanceKey(keyIndex)
+const claimOnce = async (run: Interleaving, claimant: ClaimNode, keyIndex: number, sends: boolean): Promise<void> => {
+  const key = createKey(keyIndex)
   const name = key.idempotencyKey
   const outcome = await claimant.claims.claim(key, HASH)
   if (outcome.kind !== 'granted') return
@@ -62,7 +62,7 @@
   claimant.claims.release(key, outcome.claimId)
 }
 
-const handlers: { readonly [Kind in Step['kind']]: (run: Run, step: Extract<Step, { kind: Kind }>) => Promise<void> | void } = {
+const handlers: { readonly [Kind in Step['kind']]: (run: Interleaving, step: Extract<Step, { kind: Kind }>) => Promise<void> | void } = {
   claim: (run, { node, key, sends }) => { claimOnce(run, run.nodes[node]!, key, sends) },
   fault: (run, { node, faults }) => {
     let next = 0
@@ -74,7 +74,7 @@
   wait: (run, { ms }) => run.cluster.run(ms)
 }
 
-const heal = async (run: Run): Promise<void> => {
+const heal = async (run: Interleaving): Promise<void> => {
   for (const healed of [...run.nodes, ...run.cluster.nodes]) {
     healed.platform.setFault(() => 'none')
     healed.platform.resume()
@@ -83,10 +83,10 @@
   await run.cluster.run(300)
 }
 
-const runSteps = async (steps: readonly Step[], pruneEvery: number): Promise<Run> => {
+const runSteps = async (steps: readonly Step[], pruneEvery: number): Promise<Interleaving> => {
   const cluster = createClaimNodes(NODES, { pruneEvery, keptBatches: 0 })
-  const run: Run = { cluster, nodes: [...cluster.nodes], sent: new Map(), liveGrants: new Map(), problems: [] }
-  for (const step of steps) await (handlers[step.kind] as (run: Run, step: Step) => Promise<void> | void)(run, step)
+  const run: Interleaving = { cluster, nodes: [...cluster.nodes], sent: new Map(), liveGrants: new Map(), problems: [] }
+  for (const step of steps) await (handlers[step.kind] as (run: Interleaving, step: Step) => Promise<void> | void)(run, step)
   await heal(run)
   for (const [index] of KEYS.entries()) await Promise.all(run.nodes.map((claimant) => cluster.settle(claimOnce(run, claimant, index, true))))
   return run
--- a/src/services/claims/test.ts
+++ b/src/services/claims/test.ts
@@ -203,12 +203,12 @@
     const { nodes, first, second, settle, run } = createPair()
     cutPeers(nodes)
     first.platform.setFault(faultFirstAppend('paused'))
-    const sleeping = first.claims.claim(KEY, HASH)
+    const pausedClaim = first.claims.claim(KEY, HASH)
     await run(50)
     expect(first.platform.pausedCalls()).toBe(1)
     expect((await settle(second.claims.claim(KEY, HASH))).kind).toBe('granted')
     first.platform.resume()
-    expect((await settle(sleeping)).kind).toBe('claimedElsewhere')
+    expect((await settle(pausedClaim)).kind).toBe('claimedElsewhere')
   })
 
   // The write of a paused claimant succeeds in the place of a batch that was pruned meanwhile.
@@ -220,7 +220,7 @@
     cutPeers(nodes)
     await settle(first.claims.claim({ ...KEY, idempotencyKey: 'warm up' }, HASH))
     first.platform.setFault(faultFirstAppend('paused'))
-    const sleeping = first.claims.claim(KEY, HASH)
+    const pausedClaim = first.claims.claim(KEY, HASH)
     await run(50)
     await settle(second.claims.claim(KEY, HASH))
     for (let index = 0; index < 40; index += 1) await settle(second.claims.claim({ ...KEY, idempotencyKey: `more ${index}` }, HASH))
@@ -228,7 +228,7 @@
     const batchOfKey = 'claims/0/000000000001'
     expect(await platform.readObject(batchOfKey)).toEqual({ ok: true, value: undefined })
     first.platform.resume()
-    const outcome = await settle(sleeping)
+    const outcome = await settle(pausedClaim)
     expect(await platform.readObject(batchOfKey)).toMatchObject({ ok: true, value: { name: batchOfKey } })
     expect(outcome.kind).toBe('claimedElsewhere')
   })
--- a/src/services/forwarding/_lib/checkKey.ts
+++ b/src/services/forwarding/_lib/checkKey.ts
@@ -2,7 +2,7 @@
 import { findAccount } from './findAccount.js'
 import type { GatewayAccount, GatewayConfigurationHolder, GatewayRequest, GatewayRoute } from '../../../types/index.js'
 
-export type KeyVerdict =
+export type KeyStatus =
   | 'good'
   /** The configuration in force no longer contains it. */
   | 'takenAway'
@@ -21,7 +21,7 @@
   request: Pick<GatewayRequest, 'credential'>,
   route: GatewayRoute,
   account: GatewayAccount | undefined
-): KeyVerdict => {
+): KeyStatus => {
   if (request.credential === undefined || account === undefined) return 'good'
   if (configuration.confirmedAgeMs() >= readKeyFreshnessMs()) return 'unproved'
   const current = configuration.current()
--- a/src/services/forwarding/_lib/judgeAnswer.ts
+++ b/src/services/forwarding/_lib/classifyAnswer.ts
@@ -1,13 +1,13 @@
 /** Decides from an answer's head whether it belongs to the request, and whether the request was run. */
 import type { GatewayRequest, InstanceAnswer } from '../../../types/index.js'
 
-export type AnswerVerdict =
+export type AnswerClass =
   | { readonly kind: 'own' }
   | { readonly kind: 'notRun' }
   /** The answer to another request, or bytes that the backend server did not send in this form. */
   | { readonly kind: 'foreign', readonly message: string }
 
-export const judgeAnswer = (request: GatewayRequest, answer: InstanceAnswer): AnswerVerdict => {
+export const classifyAnswer = (request: GatewayRequest, answer: InstanceAnswer): AnswerClass => {
   if (answer.requestId !== undefined && answer.requestId !== request.requestId) return { kind: 'foreign', message: `answer to request ${answer.requestId}` }
   if (answer.isNotRun || answer.isOtherInstance) return { kind: 'notRun' }
   if (answer.requestId === undefined) return { kind: 'foreign', message: `status ${answer.status} without a request id` }
--- a/src/services/forwarding/_lib/createAnswerIntake.test.ts
+++ b/src/services/forwarding/_lib/createAnswerIntake.test.ts
@@ -50,9 +50,9 @@
     onHead: () => {},
     onNotRun: () => { seen.push('not run') },
     onBroken: (message) => { seen.push(`broken: ${message}`) },
-    onStatedFailure: () => { seen.push('stated failure') },
-    onWhole: caller.whole,
-    onPassed: caller.end
+    onReportedFailure: () => { seen.push('stated failure') },
+    onComplete: caller.sendComplete,
+    onStreamEnd: caller.end
   })
   intake.takeHead(answer)
   return { caller, seen, take: (text: string) => intake.takeData(Buffer.from(text), undefined), end: intake.takeEnd }
--- a/src/services/forwarding/_lib/createAnswerIntake.ts
+++ b/src/services/forwarding/_lib/createAnswerIntake.ts
@@ -7,7 +7,7 @@
  */
 import type { CallerAnswer } from './createCallerAnswer.js'
 import { createEventReader } from './createEventReader.js'
-import { judgeAnswer } from './judgeAnswer.js'
+import { classifyAnswer } from './classifyAnswer.js'
 import type { Exchange, GatewayRequest, InstanceAnswer } from '../../../types/index.js'
 
 export type AnswerListener = {
@@ -18,11 +18,11 @@
   /** The answer belongs to another request, is incomplete, or does not continue what the caller has. */
   readonly onBroken: (message: string) => void
   /** The backend server reports a failure in a complete answer. */
-  readonly onStatedFailure: (answer: InstanceAnswer, body: Uint8Array) => void
+  readonly onReportedFailure: (answer: InstanceAnswer, body: Uint8Array) => void
   /** The answer is complete and nothing of it was passed on yet. */
-  readonly onWhole: (answer: InstanceAnswer, body: Uint8Array) => void
+  readonly onComplete: (answer: InstanceAnswer, body: Uint8Array) => void
   /** The last bytes of the answer were passed on. */
-  readonly onPassed: () => void
+  readonly onStreamEnd: () => void
 }
 
 export type AnswerIntake = {
@@ -32,7 +32,7 @@
 }
 
 /** An answer that is no event stream is buffered up to this size; longer ones are passed on as they arrive. */
-const HELD_BYTES = 1024 * 1024
+const MAXIMUM_BUFFERED_BYTES = 1024 * 1024
 
 const isStream = (answer: InstanceAnswer): boolean => answer.isEventStream && answer.status === 200
 
@@ -40,8 +40,8 @@
 export const createAnswerIntake = (request: GatewayRequest, caller: CallerAnswer, listener: AnswerListener): AnswerIntake => {
   const reader = createEventReader()
   let answer: InstanceAnswer | undefined
-  let held: Uint8Array[] = []
-  let heldBytes = 0
+  let buffered: Uint8Array[] = []
+  let bufferedBytes = 0
 
   const beginWith = (head: InstanceAnswer): void => { if (!caller.hasBegun()) caller.begin(head) }
 
@@ -54,12 +54,12 @@
     if (relayed.gap !== undefined) listener.onBroken(relayed.gap)
   }
 
-  const hold = (head: InstanceAnswer, bytes: Uint8Array, exchange: Exchange | undefined): void => {
-    held.push(bytes)
-    heldBytes += bytes.length
-    if (heldBytes <= HELD_BYTES) return
-    const chunks = held
-    held = []
+  const bufferBytes = (head: InstanceAnswer, bytes: Uint8Array, exchange: Exchange | undefined): void => {
+    buffered.push(bytes)
+    bufferedBytes += bytes.length
+    if (bufferedBytes <= MAXIMUM_BUFFERED_BYTES) return
+    const chunks = buffered
+    buffered = []
     caller.begin(head)
     for (const chunk of chunks) caller.pass(chunk, exchange)
   }
@@ -67,26 +67,26 @@
   return {
     takeHead: (head) => {
       answer = head
-      const verdict = judgeAnswer(request, head)
-      if (verdict.kind === 'foreign') return listener.onBroken(verdict.message)
-      if (verdict.kind === 'notRun') return listener.onNotRun(head)
+      const answerClass = classifyAnswer(request, head)
+      if (answerClass.kind === 'foreign') return listener.onBroken(answerClass.message)
+      if (answerClass.kind === 'notRun') return listener.onNotRun(head)
       if (caller.hasBegun() && !isStream(head)) return listener.onBroken(`status ${head.status} instead of the rest of the stream`)
       listener.onHead(head)
     },
     takeData: (bytes, exchange) => {
       if (answer === undefined) return
       if (isStream(answer)) return passEvents(answer, bytes, exchange)
-      if (!caller.hasBegun()) return hold(answer, bytes, exchange)
+      if (!caller.hasBegun()) return bufferBytes(answer, bytes, exchange)
       caller.pass(bytes, exchange)
     },
     takeEnd: () => {
       if (answer === undefined) return listener.onBroken('end without an answer')
       if (reader.pendingBytes() > 0) return listener.onBroken('end in the middle of an event')
       if (isStream(answer)) beginWith(answer)
-      if (caller.hasBegun()) return listener.onPassed()
-      const body = Buffer.concat(held)
-      if (answer.status >= 500) return listener.onStatedFailure(answer, body)
-      listener.onWhole(answer, body)
+      if (caller.hasBegun()) return listener.onStreamEnd()
+      const body = Buffer.concat(buffered)
+      if (answer.status >= 500) return listener.onReportedFailure(answer, body)
+      listener.onComplete(answer, body)
     }
   }
 }
--- a/src/services/forwarding/_lib/createCallerAnswer.ts
+++ b/src/services/forwarding/_lib/createCallerAnswer.ts
@@ -14,7 +14,7 @@
   /** Passes bytes on; the exchange pauses while the caller reads slower than bytes arrive. */
   readonly pass: (bytes: Uint8Array, exchange: Exchange | undefined) => void
   readonly end: () => void
-  readonly whole: (answer: InstanceAnswer, body: Uint8Array) => void
+  readonly sendComplete: (answer: InstanceAnswer, body: Uint8Array) => void
   readonly refuse: (refusal: GatewayRefusal) => void
   /** Aborts the caller's connection so that the answer does not look complete. */
   readonly breakOff: () => void
@@ -36,7 +36,7 @@
       sink.onDrain(() => exchange?.resume())
     },
     end: sink.end,
-    whole: sink.whole,
+    sendComplete: sink.whole,
     refuse: sink.refuse,
     breakOff: sink.fail
   }
--- a/src/services/forwarding/_lib/createEnding.ts
+++ b/src/services/forwarding/_lib/createFinalAnswer.ts
@@ -3,49 +3,49 @@
  * A refusal states "not run" only while no backend server may have run the request.
  */
 import type { CallerAnswer } from './createCallerAnswer.js'
-import type { RunOutcome, RunRecord } from './createRunRecord.js'
+import type { RequestOutcome, RequestRecord } from './createRequestRecord.js'
 import { computeRetryAfter } from '../../../decisions/computeRetryAfter/index.js'
 import type { FinalReason, GatewayRefusal, InstanceAnswer, LogFields, RandomSource } from '../../../types/index.js'
 
 /** A failure that a backend server reported in a complete answer of its own. */
-export type StatedFailure = { readonly answer: InstanceAnswer, readonly body: Uint8Array }
+export type ReportedFailure = { readonly answer: InstanceAnswer, readonly body: Uint8Array }
 
-export type EndingDependencies = {
+export type FinalAnswerDependencies = {
   readonly caller: CallerAnswer
-  readonly record: Pick<RunRecord, 'finish'>
+  readonly record: Pick<RequestRecord, 'finish'>
   readonly random: Pick<RandomSource, 'next'>
   readonly readProgress: () => { readonly mayHaveRun: boolean, readonly sends: number }
   /** Aborts the current attempt. */
-  readonly dropSending: () => void
+  readonly abortAttempt: () => void
   readonly onDone: () => void
 }
 
-export type Ending = {
+export type FinalAnswer = {
   /** Records the outcome; the caller has its answer or has disconnected. */
-  readonly finish: (outcome: RunOutcome, fields?: LogFields) => void
+  readonly finish: (outcome: RequestOutcome, fields?: LogFields) => void
   readonly refuse: (refusal: GatewayRefusal, evidence?: LogFields) => void
   /** Refuses with "not run" while that is certain; otherwise passes on the reported failure, or refuses with the given status. */
   readonly giveUp: (reason: FinalReason, statusIfUnknown: 502 | 504, evidence?: LogFields) => void
   /** Keeps the last failure that a backend server reported, as the final answer if no retry succeeds. */
-  readonly noteStatedFailure: (failure: StatedFailure) => void
+  readonly keepReportedFailure: (failure: ReportedFailure) => void
   /** Passes the reported failure on to the caller. */
-  readonly finishStated: () => void
+  readonly finishWithReportedFailure: () => void
 }
 
 /** Creates the end of one request. */
-export const createEnding = ({ caller, record, random, readProgress, dropSending, onDone }: EndingDependencies): Ending => {
+export const createFinalAnswer = ({ caller, record, random, readProgress, abortAttempt, onDone }: FinalAnswerDependencies): FinalAnswer => {
   let isDone = false
-  let stated: StatedFailure | undefined
+  let reportedFailure: ReportedFailure | undefined
 
-  const finish: Ending['finish'] = (outcome, fields = {}) => {
+  const finish: FinalAnswer['finish'] = (outcome, fields = {}) => {
     isDone = true
     onDone()
     record.finish(outcome, { sends: readProgress().sends, ...fields })
   }
 
-  const refuse: Ending['refuse'] = (refusal, evidence = {}) => {
+  const refuse: FinalAnswer['refuse'] = (refusal, evidence = {}) => {
     if (isDone) return
-    dropSending()
+    abortAttempt()
     const { mayHaveRun } = readProgress()
     if (caller.hasBegun()) {
       caller.breakOff()
@@ -56,18 +56,18 @@
     finish('refused', { status: refusal.status, reason: refusal.reason, retryAfterMs, mayHaveRun, ...evidence })
   }
 
-  const finishStated = (): void => {
-    if (stated === undefined) return
-    dropSending()
-    caller.whole(stated.answer, stated.body)
-    finish('failedAtBackend', { status: stated.answer.status })
+  const finishWithReportedFailure = (): void => {
+    if (reportedFailure === undefined) return
+    abortAttempt()
+    caller.sendComplete(reportedFailure.answer, reportedFailure.body)
+    finish('failedAtBackend', { status: reportedFailure.answer.status })
   }
 
-  const giveUp: Ending['giveUp'] = (reason, statusIfUnknown, evidence = {}) => {
+  const giveUp: FinalAnswer['giveUp'] = (reason, statusIfUnknown, evidence = {}) => {
     if (caller.hasBegun() || !readProgress().mayHaveRun) return refuse({ status: 503, reason, retryAfterMs: computeRetryAfter(random.next(), reason) }, evidence)
-    if (stated !== undefined) return finishStated()
+    if (reportedFailure !== undefined) return finishWithReportedFailure()
     refuse({ status: statusIfUnknown, reason }, evidence)
   }
 
-  return { finish, refuse, giveUp, noteStatedFailure: (failure) => { stated = failure }, finishStated }
+  return { finish, refuse, giveUp, keepReportedFailure: (failure) => { reportedFailure = failure }, finishWithReportedFailure }
 }
--- a/src/services/forwarding/_lib/createTimeToFirstBytes.ts
+++ b/src/services/forwarding/_lib/createFirstByteTimes.ts
@@ -1,10 +1,10 @@
 /** Tracks the average time to first byte of each route, against which a backend server counts as slow. */
 
-export type TimeToFirstBytes = {
+export type FirstByteTimes = {
   /** Records a time in milliseconds and returns it as a multiple of the route's average. */
-  readonly compare: (route: string, milliseconds: number) => number
+  readonly recordAndCompare: (route: string, milliseconds: number) => number
   /** Average of the route in milliseconds; `undefined` before the first request. */
-  readonly usual: (route: string) => number | undefined
+  readonly readAverage: (route: string) => number | undefined
 }
 
 /** Weight of the newest time: the average spans about thirty requests. */
@@ -13,14 +13,14 @@
 const FLOOR_MS = 20
 
 /** Creates an empty record. */
-export const createTimeToFirstBytes = (): TimeToFirstBytes => {
+export const createFirstByteTimes = (): FirstByteTimes => {
   const averages = new Map<string, number>()
   return {
-    compare: (route, milliseconds) => {
+    recordAndCompare: (route, milliseconds) => {
       const average = averages.get(route) ?? milliseconds
       averages.set(route, average + NEWEST_WEIGHT * (milliseconds - average))
       return (milliseconds + FLOOR_MS) / (average + FLOOR_MS)
     },
-    usual: (route) => averages.get(route)
+    readAverage: (route) => averages.get(route)
   }
 }
--- a/src/services/forwarding/_lib/createRun.ts
+++ b/src/services/forwarding/_lib/createRequestHandler.ts
@@ -4,13 +4,13 @@
  * A refusal states "not run" only while no backend server may have run the request.
  */
 import { checkKey } from './checkKey.js'
-import { chooseInstance, findBarrier, type Choice, type ChosenInstance } from './chooseInstance.js'
+import { selectInstance, findIneligibility, type SelectionInput, type SelectedInstance } from './selectInstance.js'
 import { createAnswerIntake, type AnswerIntake, type AnswerListener } from './createAnswerIntake.js'
 import { createCallerAnswer } from './createCallerAnswer.js'
-import { createEnding } from './createEnding.js'
-import { createRunRecord } from './createRunRecord.js'
-import { createSending, type Sending } from './createSending.js'
-import { createSendingNotes } from './createSendingNotes.js'
+import { createFinalAnswer } from './createFinalAnswer.js'
+import { createRequestRecord } from './createRequestRecord.js'
+import { createSendAttempt, type SendAttempt } from './createSendAttempt.js'
+import { createAttemptReporter } from './createAttemptReporter.js'
 import { describeSend } from './describeSend.js'
 import { formatInstanceKey } from '../../../decisions/formatInstanceKey/index.js'
 import { isFailoverDue } from '../../../decisions/isFailoverDue/index.js'
@@ -18,91 +18,91 @@
 import type {
   CallerSink, ExchangeFailure, GatewayAccount, GatewayRefusal, GatewayRequest, GatewayRoute, InstanceAnswer, LogFields
 } from '../../../types/index.js'
-import type { Run, RunContext } from './run.js'
+import type { RequestHandler, RequestHandlerContext } from './requestHandler.js'
 
 /** How long a request with a key waits for the configuration to be confirmed, in milliseconds. */
 const KEY_CONFIRM_WAIT_MS = 400
 /** Refusals by backend servers after which the request itself is refused, whatever the retry budget: the service is full. */
-const REFUSALS_AT_MOST = 3
+const MAXIMUM_REFUSALS = 3
 /** The delay is short because a new connection reaches another node. */
-const STOPPING: GatewayRefusal = { status: 503, reason: 'shuttingDown', retryAfterMs: 20 }
+const SHUTTING_DOWN: GatewayRefusal = { status: 503, reason: 'shuttingDown', retryAfterMs: 20 }
 
 /** Creates the handler of one request; it sends nothing before `assign` and `submit`. */
-export const createRun = (context: RunContext, request: GatewayRequest, sink: CallerSink): Run => {
+export const createRequestHandler = (context: RequestHandlerContext, request: GatewayRequest, sink: CallerSink): RequestHandler => {
   const { clock, random, metrics, registry, health, loadView } = context
   const tried = new Set<string>()
   let route: GatewayRoute | undefined
   let account: GatewayAccount | undefined
   let service = ''
   let body: Uint8Array | undefined
-  let sending: Sending | undefined
+  let activeAttempt: SendAttempt | undefined
   let isDone = false
   let mayHaveRun = false
   let sends = 0
-  let sendsBegun = 0
+  let attemptsStarted = 0
   let refusals = 0
   let isWaitingForKey = false
   const caller = createCallerAnswer(sink, request.lastEventId)
-  const record = createRunRecord(context, request, () => route)
-  const notes = createSendingNotes(context, { request, readRoute: () => route, readService: () => service })
+  const record = createRequestRecord(context, request, () => route)
+  const reporter = createAttemptReporter(context, { request, readRoute: () => route, readService: () => service })
 
   const deadlineAt = (): number =>
     request.receivedAt + Math.min(request.callerTimeoutMs ?? Infinity, route?.timeoutMs ?? Infinity)
 
   /** The longest time that the request may still take, in milliseconds. A non-streaming request that no server received yet counts with its full time-out. */
-  const longestMs = (to: GatewayRoute): number =>
+  const computeMaximumMs = (to: GatewayRoute): number =>
     mayHaveRun || to.retryPolicy === 'stream' ? deadlineAt() - clock.now() : to.timeoutMs
 
-  const dropSending = (): void => {
-    const current = sending
+  const abortAttempt = (): void => {
+    const current = activeAttempt
     if (current === undefined) return
-    sending = undefined
-    endSending(current)
+    activeAttempt = undefined
+    endAttempt(current)
     current.exchange?.abort()
   }
 
-  const endSending = (current: Sending): void => {
+  const endAttempt = (current: SendAttempt): void => {
     if (current.isOver) return
     current.isOver = true
     loadView.recordEnd(formatInstanceKey(current.instance))
-    health.ended(current.instance)
+    health.recordEnd(current.instance)
   }
 
-  const ending = createEnding({
+  const finalAnswer = createFinalAnswer({
     caller,
     record,
     random,
     readProgress: () => ({ mayHaveRun, sends }),
-    dropSending,
+    abortAttempt,
     onDone: () => {
       isDone = true
-      notes.over()
+      reporter.reportEnd()
       context.onDone()
     }
   })
-  const { finish, refuse, giveUp } = ending
+  const { finish, refuse, giveUp } = finalAnswer
 
-  const isRepeatable = (): boolean => route !== undefined && (route.retryPolicy === 'safe' || (route.retryPolicy === 'stream' && route.isResumable))
+  const isRetryable = (): boolean => route !== undefined && (route.retryPolicy === 'safe' || (route.retryPolicy === 'stream' && route.isResumable))
 
-  const canSendAgain = (): boolean => {
+  const canRetry = (): boolean => {
     if (route === undefined || clock.now() >= deadlineAt()) return false
-    if (mayHaveRun && (!isRepeatable() || sends >= route.maximumAttempts)) return false
-    return refusals < REFUSALS_AT_MOST && context.budgets.canSpend(service) && findInstance() !== undefined
+    if (mayHaveRun && (!isRetryable() || sends >= route.maximumAttempts)) return false
+    return refusals < MAXIMUM_REFUSALS && context.retryWindows.canRetry(service) && selectNextInstance() !== undefined
   }
 
-  const readChoice = (): Choice => ({ request, service, bodyBytes: body?.length ?? 0, tried, allowedRegions: [route?.allowedRegions ?? [], account?.allowedRegions ?? []] })
+  const createSelectionInput = (): SelectionInput => ({ request, service, bodyBytes: body?.length ?? 0, tried, allowedRegions: [route?.allowedRegions ?? [], account?.allowedRegions ?? []] })
 
-  const findInstance = (): ChosenInstance | undefined => route === undefined ? undefined : chooseInstance(context, readChoice())
+  const selectNextInstance = (): SelectedInstance | undefined => route === undefined ? undefined : selectInstance(context, createSelectionInput())
 
   /** No backend server is eligible: waiting would not help, and the reason sets the Retry-After. */
-  const giveUpUnplaced = (): void => {
-    const barrier = findBarrier(context, readChoice())
-    if (barrier === undefined || barrier === 'open') return giveUp('noInstance', 502)
-    giveUp(barrier, 502, { zoneDrainRevision: context.zoneDrains.revision(), configurationVersion: context.configuration.version() })
+  const giveUpWithoutInstance = (): void => {
+    const ineligibility = findIneligibility(context, createSelectionInput())
+    if (ineligibility === undefined || ineligibility === 'open') return giveUp('noInstance', 502)
+    giveUp(ineligibility, 502, { zoneDrainRevision: context.zoneDrains.revision(), configurationVersion: context.configuration.version() })
   }
 
-  const repeatOr = (otherwise: () => void): void => {
-    if (!canSendAgain()) return otherwise()
+  const retryOr = (otherwise: () => void): void => {
+    if (!canRetry()) return otherwise()
     send()
   }
 
@@ -118,47 +118,47 @@
   const send = (): void => {
     if (isDone || route === undefined || body === undefined || isWaitingForKey) return
     // Checked before every send: the request may have waited since the last check.
-    const verdict = checkKey(context, request, route, account)
-    if (verdict === 'unproved') {
+    const keyStatus = checkKey(context, request, route, account)
+    if (keyStatus === 'unproved') {
       confirmKey(route)
       return
     }
-    if (verdict === 'takenAway') return mayHaveRun ? giveUp('unknownKey', 502) : refuse({ status: 401, reason: 'unknownKey' })
+    if (keyStatus === 'takenAway') return mayHaveRun ? giveUp('unknownKey', 502) : refuse({ status: 401, reason: 'unknownKey' })
     // Checked before every send, retries included: the shutdown may have begun while the request waited.
-    if (!context.stopGate.passes(route, request, longestMs(route))) return mayHaveRun ? giveUp('shuttingDown', 502) : refuse(STOPPING)
+    if (!context.shutdownGate.passes(route, request, computeMaximumMs(route))) return mayHaveRun ? giveUp('shuttingDown', 502) : refuse(SHUTTING_DOWN)
     const remainingMs = deadlineAt() - clock.now()
     if (remainingMs <= 1) return giveUp('deadlineBeforeSend', 504)
-    const chosen = findInstance()
-    if (chosen === undefined) return giveUpUnplaced()
-    if (sendsBegun === 0) noteBegun()
-    else if (!spendRepeat()) return giveUp('instancesRefused', 502)
-    startSending(chosen, remainingMs, route, body)
+    const chosen = selectNextInstance()
+    if (chosen === undefined) return giveUpWithoutInstance()
+    if (attemptsStarted === 0) recordStart()
+    else if (!takeRetry()) return giveUp('instancesRefused', 502)
+    startAttempt(chosen, remainingMs, route, body)
   }
 
-  const noteBegun = (): void => {
-    context.budgets.noteFirst(service)
-    notes.begun()
+  const recordStart = (): void => {
+    context.retryWindows.recordFirstSend(service)
+    reporter.reportStart()
   }
 
-  const spendRepeat = (): boolean => {
-    const isGranted = context.budgets.spend(service)
-    record.countRepeat(isGranted)
+  const takeRetry = (): boolean => {
+    const isGranted = context.retryWindows.takeRetry(service)
+    record.countRetry(isGranted)
     return isGranted
   }
 
-  const startSending = (chosen: ChosenInstance, remainingMs: number, to: GatewayRoute, content: Uint8Array): void => {
+  const startAttempt = (chosen: SelectedInstance, remainingMs: number, to: GatewayRoute, content: Uint8Array): void => {
     const { instance, copyPromptFrom } = chosen
-    record.reach('sent')
-    const current = createSending(instance, clock.now())
+    record.recordStep('sent')
+    const current = createSendAttempt(instance, clock.now())
     const intake = createAnswerIntake(request, caller, listenTo(current))
-    sending = current
+    activeAttempt = current
     tried.add(instance.id)
     loadView.recordStart(formatInstanceKey(instance))
-    health.began(instance)
-    context.warmUp.noteSend(instance)
+    health.recordStart(instance)
+    context.warmUp.recordSend(instance)
     context.directory.record(request.promptParts, formatInstanceKey(instance))
     if (copyPromptFrom !== undefined) metrics.count('gateway_prompt_copies')
-    record.log(sendsBegun++ === 0 ? 'request sent' : 'request sent again', {
+    record.log(attemptsStarted++ === 0 ? 'request sent' : 'request sent again', {
       ...describeSend(context, request, chosen),
       remainingMs: Math.round(remainingMs),
       resumeAfter: caller.relay.lastEventId()
@@ -167,86 +167,86 @@
       { request, body: content, instance, account: account?.name, remainingMs, priority: account?.priority ?? to.priority, resumeAfter: caller.relay.lastEventId(), copyPromptFrom: copyPromptFrom?.address },
       {
         onSent: () => {
-          record.reach('connected')
+          record.recordStep('connected')
           current.isSent = true
-          if (sending === current) mayHaveRun = true
-          if (sending === current) sends += 1
+          if (activeAttempt === current) mayHaveRun = true
+          if (activeAttempt === current) sends += 1
         },
-        onHead: (answer) => { if (sending === current) takeHead(current, answer, intake) },
+        onHead: (answer) => { if (activeAttempt === current) handleHead(current, answer, intake) },
         onData: (bytes) => {
-          if (sending !== current) return
-          notes.body(current)
+          if (activeAttempt !== current) return
+          reporter.reportBody(current)
           intake.takeData(bytes, current.exchange)
         },
-        onEnd: () => { if (sending === current) intake.takeEnd() },
-        onFailure: (failure) => { if (sending === current) takeFailure(current, failure) }
+        onEnd: () => { if (activeAttempt === current) intake.takeEnd() },
+        onFailure: (failure) => { if (activeAttempt === current) handleFailure(current, failure) }
       }
     )
   }
 
-  const takeHead = (current: Sending, answer: InstanceAnswer, intake: AnswerIntake): void => {
-    notes.head(current, answer)
-    record.reach('head')
-    record.noteFirstBytes(clock.now() - current.startedAt)
+  const handleHead = (current: SendAttempt, answer: InstanceAnswer, intake: AnswerIntake): void => {
+    reporter.reportHead(current, answer)
+    record.recordStep('head')
+    record.recordFirstByteTime(clock.now() - current.startedAt)
     intake.takeHead(answer)
   }
 
   /** The backend server states that it did not run the request, so the send does not count. */
-  const takeNotRun = (current: Sending, answer: InstanceAnswer): void => {
-    dropSending()
+  const handleNotRun = (current: SendAttempt, answer: InstanceAnswer): void => {
+    abortAttempt()
     sends -= 1
     mayHaveRun = sends > 0
     refusals += 1
     record.countSend('refused')
     record.log('backend server refused', { backendServer: current.instance.id, status: answer.status, isOtherInstance: answer.isOtherInstance })
     if (answer.isOtherInstance) registry.markGone(current.instance, 'another backend server has its address')
-    repeatOr(() => giveUp('instancesRefused', 502))
+    retryOr(() => giveUp('instancesRefused', 502))
   }
 
   /** The answer of the backend server is complete; `tell` ends the caller's answer. */
-  const endWell = (current: Sending, tell: () => void, fields: LogFields = {}): void => {
-    endSending(current)
-    sending = undefined
-    tell()
-    notes.complete()
+  const completeWith = (current: SendAttempt, endAnswer: () => void, fields: LogFields = {}): void => {
+    endAttempt(current)
+    activeAttempt = undefined
+    endAnswer()
+    reporter.reportComplete()
     record.countSend('complete')
     finish('complete', { backendServer: current.instance.id, ...fields })
   }
 
-  const listenTo = (current: Sending): AnswerListener => ({
-    onHead: (answer) => notes.success(current, answer),
-    onNotRun: (answer) => takeNotRun(current, answer),
-    onBroken: (message) => takeFailure(current, { kind: 'broken', message }),
-    onStatedFailure: (answer, body) => takeStatedFailure(current, answer, body),
-    onWhole: (answer, body) => endWell(current, () => caller.whole(answer, body), { status: answer.status }),
-    onPassed: () => {
-      if (sends === 1) notes.wholeStream(current)
-      endWell(current, caller.end)
+  const listenTo = (current: SendAttempt): AnswerListener => ({
+    onHead: (answer) => reporter.reportSuccess(current, answer),
+    onNotRun: (answer) => handleNotRun(current, answer),
+    onBroken: (message) => handleFailure(current, { kind: 'broken', message }),
+    onReportedFailure: (answer, body) => handleReportedFailure(current, answer, body),
+    onComplete: (answer, body) => completeWith(current, () => caller.sendComplete(answer, body), { status: answer.status }),
+    onStreamEnd: () => {
+      if (sends === 1) reporter.reportCompleteStream(current)
+      completeWith(current, caller.end)
     }
   })
 
-  const takeStatedFailure = (current: Sending, answer: InstanceAnswer, whole: Uint8Array): void => {
-    endSending(current)
-    sending = undefined
+  const handleReportedFailure = (current: SendAttempt, answer: InstanceAnswer, answerBody: Uint8Array): void => {
+    endAttempt(current)
+    activeAttempt = undefined
     health.record(current.instance, { kind: 'errored' })
     record.countSend('errored')
     record.log('backend server failed', { backendServer: current.instance.id, status: answer.status })
-    ending.noteStatedFailure({ answer, body: whole })
-    repeatOr(ending.finishStated)
+    finalAnswer.keepReportedFailure({ answer, body: answerBody })
+    retryOr(finalAnswer.finishWithReportedFailure)
   }
 
-  const takeFailure = (current: Sending, failure: ExchangeFailure): void => {
-    dropSending()
+  const handleFailure = (current: SendAttempt, failure: ExchangeFailure): void => {
+    abortAttempt()
     const isNotSent = failure.kind === 'notSent'
     record.countSend(failure.kind)
     health.record(current.instance, isNotSent ? { kind: 'unreachable' } : { kind: 'broken' })
     record.log('exchange failed', { backendServer: current.instance.id, kind: failure.kind, reason: failure.message, lastEventId: caller.relay.lastEventId() })
-    repeatOr(() => giveUp(isNotSent ? 'noInstance' : 'answerBroken', 502))
+    retryOr(() => giveUp(isNotSent ? 'noInstance' : 'answerBroken', 502))
   }
 
-  const move = (current: Sending, now: number): void => {
+  const moveToOtherInstance = (current: SendAttempt, now: number): void => {
     record.log('backend server silent', { backendServer: current.instance.id, silentMs: Math.round(now - current.lastBytesAt), lastEventId: caller.relay.lastEventId() })
-    dropSending()
+    abortAttempt()
     record.countSend('silent')
     health.record(current.instance, { kind: 'unreachable' })
     send()
@@ -255,41 +255,41 @@
   const check = (now: number): void => {
     if (isDone) return
     if (now >= deadlineAt()) return giveUp(mayHaveRun ? 'deadline' : 'deadlineBeforeSend', 504)
-    const current = sending
+    const current = activeAttempt
     if (current === undefined || route === undefined || !current.isSent) return
     const isDue = isFailoverDue({
       hasBegun: caller.hasBegun(),
       waitedMs: now - current.lastBytesAt,
-      instanceWaitedMs: health.silentMs(current.instance),
+      instanceWaitedMs: health.readIdleMs(current.instance),
       firstByteTargetMs: route.latencyTargetMs,
       pauseTargetMs: route.eventGapTargetMs,
-      usualFirstByteMs: context.usualTimes.usual(route.name)
+      usualFirstByteMs: context.firstByteTimes.readAverage(route.name)
     })
     if (!isDue) return
-    if (isRepeatable() && canSendAgain()) return move(current, now)
-    notes.silence(current)
+    if (isRetryable() && canRetry()) return moveToOtherInstance(current, now)
+    reporter.reportUnresponsive(current)
   }
 
   return {
-    assign: (to, holder) => {
+    assign: (to, owner) => {
       if (isDone) return
       route = to
-      account = holder
+      account = owner
       service = selectTarget(to.targets, random.next()).service
-      if (!context.stopGate.passes(to, request, longestMs(to))) return refuse(STOPPING)
+      if (!context.shutdownGate.passes(to, request, computeMaximumMs(to))) return refuse(SHUTTING_DOWN)
       // The body may have arrived while the request waited for its route.
       send()
     },
     submit: (content) => {
       if (isDone) return
-      record.reach('body')
+      record.recordStep('body')
       body = content
       send()
     },
     reject: refuse,
     cancel: () => {
       if (isDone) return
-      dropSending()
+      abortAttempt()
       finish('callerLeft')
     },
     check
--- a/src/services/forwarding/_lib/createRunRecord.ts
+++ b/src/services/forwarding/_lib/createRequestRecord.ts
@@ -3,48 +3,48 @@
 import type { GatewayRequest, GatewayRoute, LogFields } from '../../../types/index.js'
 import type { GatewayEvent } from '../../../types/gatewayEvents.js'
 
-export type RunOutcome = 'complete' | 'refused' | 'brokenOff' | 'failedAtBackend' | 'callerLeft'
+export type RequestOutcome = 'complete' | 'refused' | 'brokenOff' | 'failedAtBackend' | 'callerLeft'
 
 export type SendOutcome = 'complete' | 'refused' | 'errored' | 'broken' | 'notSent' | 'silent'
 
 /** Steps of a request up to the head of its answer, in this order. */
-export type RunStep = 'body' | 'sent' | 'connected' | 'head'
+export type RequestStep = 'body' | 'sent' | 'connected' | 'head'
 
-export type RunRecord = {
+export type RequestRecord = {
   /** Records that a step was reached; only the first time counts. */
-  readonly reach: (step: RunStep) => void
+  readonly recordStep: (step: RequestStep) => void
   readonly log: (event: GatewayEvent, fields: LogFields) => void
   readonly countSend: (outcome: SendOutcome) => void
-  readonly countRepeat: (isGranted: boolean) => void
+  readonly countRetry: (isGranted: boolean) => void
   /** Records the time from the send to the answer's head, in milliseconds. */
-  readonly noteFirstBytes: (milliseconds: number) => void
-  readonly finish: (outcome: RunOutcome, fields: LogFields) => void
+  readonly recordFirstByteTime: (milliseconds: number) => void
+  readonly finish: (outcome: RequestOutcome, fields: LogFields) => void
 }
 
 const MILLISECONDS_PER_SECOND = 1_000
 
 /** Creates the record of one request; `readRoute` returns its route once that is selected. */
-export const createRunRecord = (
+export const createRequestRecord = (
   { clock, logger, metrics }: Pick<ForwardingDependencies, 'clock' | 'logger' | 'metrics'>,
   request: Pick<GatewayRequest, 'requestId' | 'receivedAt'>,
   readRoute: () => GatewayRoute | undefined
-): RunRecord => {
-  const reached: Partial<Record<RunStep, number>> = {}
+): RequestRecord => {
+  const reached: Partial<Record<RequestStep, number>> = {}
 
   const policy = (): string => readRoute()?.retryPolicy ?? 'none'
 
-  const log: RunRecord['log'] = (event, fields) => logger.info(event, { requestId: request.requestId, route: readRoute()?.name, ...fields })
+  const log: RequestRecord['log'] = (event, fields) => logger.info(event, { requestId: request.requestId, route: readRoute()?.name, ...fields })
 
   /** Returns the milliseconds from the request's arrival to each step that it reached. */
   const listSteps = (): LogFields =>
     Object.fromEntries(Object.entries(reached).map(([step, at]) => [`${step}Ms`, Math.round(at - request.receivedAt)]))
 
   return {
-    reach: (step) => { reached[step] ??= clock.now() },
+    recordStep: (step) => { reached[step] ??= clock.now() },
     log,
     countSend: (outcome) => metrics.count('gateway_sends', { outcome }),
-    countRepeat: (isGranted) => metrics.count('gateway_repeats', { granted: String(isGranted) }),
-    noteFirstBytes: (milliseconds) => metrics.observe('gateway_first_byte_seconds', milliseconds / MILLISECONDS_PER_SECOND, { policy: policy() }),
+    countRetry: (isGranted) => metrics.count('gateway_repeats', { granted: String(isGranted) }),
+    recordFirstByteTime: (milliseconds) => metrics.observe('gateway_first_byte_seconds', milliseconds / MILLISECONDS_PER_SECOND, { policy: policy() }),
     finish: (outcome, fields) => {
       const ms = clock.now() - request.receivedAt
       metrics.count('gateway_requests', { policy: policy(), outcome, reason: String(fields.reason ?? '') })
--- a/src/services/forwarding/_lib/createSending.ts
+++ b/src/services/forwarding/_lib/createSendAttempt.ts
@@ -1,7 +1,7 @@
 /** State of one attempt to send a request to one backend server. */
 import type { BackendInstance, Exchange } from '../../../types/index.js'
 
-export type Sending = {
+export type SendAttempt = {
   readonly instance: BackendInstance
   readonly startedAt: number
   exchange: Exchange | undefined
@@ -12,9 +12,9 @@
   /** Monotonic milliseconds at which bytes last arrived; the start until then. */
   lastBytesAt: number
   isOver: boolean
-  isSilenceNoted: boolean
+  isUnresponsiveReported: boolean
 }
 
 /** Creates the state of an attempt that starts now; `now` in monotonic milliseconds. */
-export const createSending = (instance: BackendInstance, now: number): Sending =>
-  ({ instance, startedAt: now, exchange: undefined, isSent: false, firstBytesAt: undefined, lastBytesAt: now, isOver: false, isSilenceNoted: false })
+export const createSendAttempt = (instance: BackendInstance, now: number): SendAttempt =>
+  ({ instance, startedAt: now, exchange: undefined, isSent: false, firstBytesAt: undefined, lastBytesAt: now, isOver: false, isUnresponsiveReported: false })
--- a/src/services/forwarding/_lib/createStopGate.ts
+++ b/src/services/forwarding/_lib/createShutdownGate.ts
@@ -5,37 +5,37 @@
 import { admitDuringShutdown } from '../../../decisions/admitDuringShutdown/index.js'
 import type { Clock, GatewayRequest, GatewayRoute } from '../../../types/index.js'
 
-export type StopGateDependencies = {
+export type ShutdownGateDependencies = {
   readonly clock: Pick<Clock, 'now'>
   readonly tokenPace: Pick<TokenPace, 'read'>
   readonly streamDurations: Pick<StreamDurations, 'shareOver'>
 }
 
-export type StopGate = {
+export type ShutdownGate = {
   /** Begins the shutdown: from now on only requests pass that are expected to end before `endsAt`, in monotonic milliseconds. */
   readonly begin: (endsAt: number) => void
   /** Whether a request may be sent that takes at most `longestMs` milliseconds; always true before the shutdown begins. */
-  readonly passes: (route: GatewayRoute, request: GatewayRequest, longestMs: number) => boolean
+  readonly passes: (route: GatewayRoute, request: GatewayRequest, maximumMs: number) => boolean
 }
 
 /** Creates the gate; it passes everything until `begin`. */
-export const createStopGate = ({ clock, tokenPace, streamDurations }: StopGateDependencies): StopGate => {
-  let stop: { readonly beganAt: number, readonly endsAt: number } | undefined
+export const createShutdownGate = ({ clock, tokenPace, streamDurations }: ShutdownGateDependencies): ShutdownGate => {
+  let shutdown: { readonly beganAt: number, readonly endsAt: number } | undefined
 
   /** Milliseconds a token of the slowest service to which the route may send. */
   const readTokenMs = (route: GatewayRoute): number =>
     Math.max(...route.targets.map(({ service }) => tokenPace.read(service) ?? DEFAULT_TOKEN_INTERVAL_MS))
 
   return {
-    begin: (endsAt) => { stop = { beganAt: clock.now(), endsAt } },
-    passes: (route, request, longestMs) => {
-      if (stop === undefined) return true
+    begin: (endsAt) => { shutdown = { beganAt: clock.now(), endsAt } },
+    passes: (route, request, maximumMs) => {
+      if (shutdown === undefined) return true
       const now = clock.now()
-      const leftMs = stop.endsAt - now
+      const leftMs = shutdown.endsAt - now
       return admitDuringShutdown({
         untilExitMs: leftMs,
-        untilDeadlineMs: longestMs,
-        arrivedAfterMs: request.receivedAt - stop.beganAt,
+        untilDeadlineMs: maximumMs,
+        arrivedAfterMs: request.receivedAt - shutdown.beganAt,
         lateShare: route.retryPolicy === 'stream' ? streamDurations.shareOver(route.name, leftMs, now) : undefined,
         estimatedDurationMs: estimateDuration({ route, outputTokens: request.tokens.output, tokenIntervalMs: readTokenMs(route) })
       })
--- a/src/services/forwarding/_lib/createStreamDurations.ts
+++ b/src/services/forwarding/_lib/createStreamDurations.ts
@@ -28,7 +28,7 @@
 /** Older streams no longer reflect the current load; in milliseconds. */
 const MAXIMUM_AGE_MS = 60_000
 /** A share of fewer streams is not significant. */
-const LEAST_ENTRIES = 20
+const MINIMUM_ENTRIES = 20
 
 /** Creates an empty record. */
 export const createStreamDurations = (): StreamDurations => {
@@ -63,12 +63,12 @@
     shareOver: (route, milliseconds, now) => {
       const latest = [...byRoute.get(route) ?? []].filter(({ beganAt }) => now - beganAt <= MAXIMUM_AGE_MS)
       const ages = latest.map(({ beganAt }) => now - beganAt).sort((left, right) => right - left)
-      const leastAge = ages[LEAST_ENTRIES - 1]
-      if (leastAge === undefined) return undefined
-      const passedMs = Math.min(milliseconds, leastAge)
-      const begunInTime = latest.filter(({ beganAt }) => now - beganAt >= passedMs)
-      const late = begunInTime.filter(({ beganAt, endedAt }) => (endedAt ?? Infinity) - beganAt > passedMs)
-      return late.length / begunInTime.length
+      const maximumThresholdMs = ages[MINIMUM_ENTRIES - 1]
+      if (maximumThresholdMs === undefined) return undefined
+      const thresholdMs = Math.min(milliseconds, maximumThresholdMs)
+      const oldEnough = latest.filter(({ beganAt }) => now - beganAt >= thresholdMs)
+      const longer = oldEnough.filter(({ beganAt, endedAt }) => (endedAt ?? Infinity) - beganAt > thresholdMs)
+      return longer.length / oldEnough.length
     }
   }
 }
--- a/src/services/forwarding/_lib/createTokenPace.test.ts
+++ b/src/services/forwarding/_lib/createTokenPace.test.ts
@@ -8,7 +8,7 @@
 
 const createPaceOf = (tokenMs: number) => {
   const pace = createTokenPace()
-  for (let stream = 0; stream < 20; stream++) pace.note('engines', 400, 400 * tokenMs)
+  for (let stream = 0; stream < 20; stream++) pace.record('engines', 400, 400 * tokenMs)
   return pace
 }
 
@@ -20,17 +20,17 @@
 
   test('adopts a slow stream at once and decays slowly', () => {
     const pace = createPaceOf(4)
-    pace.note('engines', 400, 400 * 9)
+    pace.record('engines', 400, 400 * 9)
     expect(pace.read('engines')).toBe(9)
-    pace.note('engines', 400, 400 * 4)
+    pace.record('engines', 400, 400 * 4)
     expect(pace.read('engines')).toBeCloseTo(8.9)
-    for (let stream = 0; stream < 200; stream++) pace.note('engines', 400, 400 * 4)
+    for (let stream = 0; stream < 200; stream++) pace.record('engines', 400, 400 * 4)
     expect(pace.read('engines')).toBeLessThan(4.2)
   })
 
   test('ignores streams that are too short for an estimate', () => {
     const pace = createPaceOf(4)
-    pace.note('engines', 20, 400)
+    pace.record('engines', 20, 400)
     expect(pace.read('engines')).toBeCloseTo(4)
   })
 
--- a/src/services/forwarding/_lib/createTokenPace.ts
+++ b/src/services/forwarding/_lib/createTokenPace.ts
@@ -2,13 +2,13 @@
 
 export type TokenPace = {
   /** Records a successful stream: its maximum number of tokens, and the milliseconds from its first bytes to its end. */
-  readonly note: (service: string, tokens: number, milliseconds: number) => void
+  readonly record: (service: string, tokens: number, milliseconds: number) => void
   /** Milliseconds a token, estimated on the high side; `undefined` before the first stream. */
   readonly read: (service: string) => number | undefined
 }
 
 /** Streams with fewer tokens are ignored: single pauses dominate their duration. */
-const LEAST_TOKENS = 60
+const MINIMUM_TOKENS = 60
 /** Weight of a stream that is faster than the average. A slower one replaces the average at once and affects it for about fifty streams. */
 const FASTER_WEIGHT = 0.02
 
@@ -16,11 +16,11 @@
 export const createTokenPace = (): TokenPace => {
   const paces = new Map<string, number>()
   return {
-    note: (service, tokens, milliseconds) => {
-      if (tokens < LEAST_TOKENS) return
-      const seen = milliseconds / tokens
-      const pace = paces.get(service) ?? seen
-      paces.set(service, Math.max(seen, pace + FASTER_WEIGHT * (seen - pace)))
+    record: (service, tokens, milliseconds) => {
+      if (tokens < MINIMUM_TOKENS) return
+      const tokenMs = milliseconds / tokens
+      const pace = paces.get(service) ?? tokenMs
+      paces.set(service, Math.max(tokenMs, pace + FASTER_WEIGHT * (tokenMs - pace)))
     },
     read: (service) => paces.get(service)
   }
--- a/src/services/forwarding/_lib/describeSend.ts
+++ b/src/services/forwarding/_lib/describeSend.ts
@@ -1,28 +1,28 @@
 /** Builds the log fields of a send: the backend server, and the state and load estimates by which the node chose it. */
 import type { BackendInstance, GatewayRequest, LogFields } from '../../../types/index.js'
-import type { ChosenInstance, LoadBelief } from './chooseInstance.js'
-import type { RunContext } from './run.js'
+import type { SelectedInstance, LoadEstimate } from './selectInstance.js'
+import type { RequestHandlerContext } from './requestHandler.js'
 
 const roundToHundredths = (value: number): number => Number(value.toFixed(2))
 
 /** Revisions and ages of the state that the node used. */
-const describeKnowledge = ({ configuration, zoneDrains, warmUp }: RunContext, instance: BackendInstance): LogFields => ({
+const describeState = ({ configuration, zoneDrains, warmUp }: RequestHandlerContext, instance: BackendInstance): LogFields => ({
   configurationVersion: configuration.version(),
   keyAgeMs: Math.round(configuration.confirmedAgeMs()),
   zoneDrainRevision: zoneDrains.revision(),
-  warmUpLeftMs: Math.round(warmUp.leftMs(instance))
+  warmUpLeftMs: Math.round(warmUp.remainingMs(instance))
 })
 
-const describeBelief = ({ load, meanLoad, bound, candidates, underBound }: LoadBelief): LogFields =>
+const describeLoadEstimate = ({ load, meanLoad, bound, candidates, underBound }: LoadEstimate): LogFields =>
   ({ load, meanLoad: roundToHundredths(meanLoad), loadBound: roundToHundredths(bound), candidates, underBound })
 
 /** Returns the fields of `request sent`; times in milliseconds, loads in requests in flight. */
-export const describeSend = (context: RunContext, request: Pick<GatewayRequest, 'promptParts'>, { instance, copyPromptFrom, belief }: ChosenInstance): LogFields => ({
+export const describeSend = (context: RequestHandlerContext, request: Pick<GatewayRequest, 'promptParts'>, { instance, copyPromptFrom, loadEstimate }: SelectedInstance): LogFields => ({
   backendServer: instance.id,
   incarnation: instance.incarnation,
-  ...describeKnowledge(context, instance),
+  ...describeState(context, instance),
   // The last part is unique to the request, so the one before it identifies the shared prefix.
   prompt: request.promptParts.at(-2)?.id,
-  ...describeBelief(belief),
+  ...describeLoadEstimate(loadEstimate),
   copyPromptFrom: copyPromptFrom?.id
 })
--- a/src/services/forwarding/_lib/run.ts
+++ b/src/services/forwarding/_lib/requestHandler.ts
@@ -1,26 +1,26 @@
 /** Types of the handler of one forwarded request, and of what the forwarding service passes to it. */
-import type { RepeatBudgets } from './createRepeatBudgets.js'
-import type { StopGate } from './createStopGate.js'
+import type { RetryWindows } from './createRetryWindows.js'
+import type { ShutdownGate } from './createShutdownGate.js'
 import type { StreamDurations } from './createStreamDurations.js'
-import type { TimeToFirstBytes } from './createTimeToFirstBytes.js'
+import type { FirstByteTimes } from './createFirstByteTimes.js'
 import type { TokenPace } from './createTokenPace.js'
 import type { ForwardingRun, GatewayAccount, GatewayRoute } from '../../../types/index.js'
 import type { ForwardingDependencies } from '../index.js'
 
-export type RunContext = ForwardingDependencies & {
+export type RequestHandlerContext = ForwardingDependencies & {
   readonly availabilityZone: string
   readonly regionByZone: ReadonlyMap<string, string>
   readonly readLoadFactor: () => number
   readonly readKeyFreshnessMs: () => number
-  readonly budgets: RepeatBudgets
-  readonly usualTimes: TimeToFirstBytes
+  readonly retryWindows: RetryWindows
+  readonly firstByteTimes: FirstByteTimes
   readonly tokenPace: TokenPace
   readonly streamDurations: StreamDurations
-  readonly stopGate: Pick<StopGate, 'passes'>
+  readonly shutdownGate: Pick<ShutdownGate, 'passes'>
   readonly onDone: () => void
 }
 
-export type Run = ForwardingRun & {
+export type RequestHandler = ForwardingRun & {
   readonly assign: (route: GatewayRoute, account: GatewayAccount | undefined) => void
   /** Checks the deadline and the time without bytes; called periodically, `now` in monotonic milliseconds. */
   readonly check: (now: number) => void
--- a/src/services/forwarding/_lib/chooseInstance.test.ts
+++ b/src/services/forwarding/_lib/selectInstance.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, test } from 'vitest'
-import { chooseInstance } from './chooseInstance.js'
-import type { ChoiceDependencies } from './chooseInstance.js'
+import { selectInstance } from './selectInstance.js'
+import type { SelectionDependencies } from './selectInstance.js'
 import type { BackendInstance, GatewayRequest } from '../../../types/index.js'
 
 const SERVICE = 'engines'
@@ -27,7 +27,7 @@
 /** Chooses a server for a request whose shared prefix is cached by the server `keeper`; zone `drained` is drained. */
 const choose = (servers: Readonly<Record<string, Server>>, tried: readonly string[] = []) => {
   const instances = Object.entries(servers).map(([id, { zone, isLeaving }]) => createInstance(id, zone, isLeaving))
-  const dependencies: ChoiceDependencies = {
+  const dependencies: SelectionDependencies = {
     registry: {
       list: () => instances.filter(({ isLeaving }) => !isLeaving),
       find: (id) => instances.find((instance) => instance.id === id),
@@ -39,17 +39,17 @@
       markGone: () => {},
       onChange: () => {}
     },
-    health: { began: () => {}, ended: () => {}, heard: () => {}, record: () => {}, isHeld: ({ id }) => servers[id]?.isHeld === true, silentMs: () => 0, compareWith: () => () => 1, retain: () => {} },
+    health: { recordStart: () => {}, recordEnd: () => {}, recordBytes: () => {}, record: () => {}, isSuspended: ({ id }) => servers[id]?.isHeld === true, readIdleMs: () => 0, compareWith: () => () => 1, retain: () => {} },
     directory: { record: () => {}, listCachedTokens: () => new Map([['keeper@1', 8_000]]), onRecovered: () => {} },
     loadView: { recordStart: () => {}, recordEnd: () => {}, estimateInFlight: (key) => servers[key.split('@')[0]!]?.load ?? 0, ownInFlight: () => 0, applyReport: () => {} },
     random: { next: () => 0.5, nextId: () => 'id' },
     zoneDrains: { isDrained: (zone) => zone === 'drained', isKnown: () => true, revision: () => 0, onChange: () => {} },
-    warmUp: { leftMs: () => 0, isAtRate: ({ id }) => servers[id]?.isWarming === true, noteSend: () => {} },
+    warmUp: { remainingMs: () => 0, isLimitReached: ({ id }) => servers[id]?.isWarming === true, recordSend: () => {} },
     availabilityZone: 'a',
     regionByZone: new Map(),
     readLoadFactor: () => 2
   }
-  return chooseInstance(dependencies, { request: REQUEST, service: SERVICE, bodyBytes: 100, tried: new Set(tried), allowedRegions: [] })
+  return selectInstance(dependencies, { request: REQUEST, service: SERVICE, bodyBytes: 100, tried: new Set(tried), allowedRegions: [] })
 }
 
 const OPEN: Readonly<Record<string, Server>> = { keeper: { zone: 'a', load: 14 }, b: { zone: 'a', load: 6 }, c: { zone: 'b', load: 6 }, d: { zone: 'b', load: 6 } }
@@ -67,7 +67,7 @@
   ])('counts servers %s in the mean that bounds the load', (_what, closed) => {
     const chosen = choose({ ...OPEN, e: closed, f: closed })
     expect(chosen?.instance.id).not.toBe('keeper')
-    expect(chosen?.belief).toMatchObject({ candidates: 4, underBound: 3 })
+    expect(chosen?.loadEstimate).toMatchObject({ candidates: 4, underBound: 3 })
   })
 
   test('counts servers that the request was already sent to', () =>
@@ -76,6 +76,6 @@
   test('selects the least loaded server where all eligible ones are over the bound', () => {
     const drained: Server = { zone: 'drained', load: 0 }
     const servers = { keeper: { zone: 'a', load: 22 }, b: { zone: 'a', load: 20 }, c: drained, d: drained, e: drained, f: drained, g: drained }
-    expect(choose(servers)).toMatchObject({ instance: { id: 'b' }, belief: { underBound: 0 } })
+    expect(choose(servers)).toMatchObject({ instance: { id: 'b' }, loadEstimate: { underBound: 0 } })
   })
 })
--- a/src/services/forwarding/_lib/chooseInstance.ts
+++ b/src/services/forwarding/_lib/selectInstance.ts
@@ -8,14 +8,14 @@
 import { formatInstanceKey } from '../../../decisions/formatInstanceKey/index.js'
 import type { ForwardingDependencies } from '../index.js'
 
-export type ChoiceDependencies = Pick<ForwardingDependencies, 'registry' | 'health' | 'directory' | 'loadView' | 'random' | 'zoneDrains' | 'warmUp'> & {
+export type SelectionDependencies = Pick<ForwardingDependencies, 'registry' | 'health' | 'directory' | 'loadView' | 'random' | 'zoneDrains' | 'warmUp'> & {
   readonly availabilityZone: string
   /** Region of each availability zone, for requests that are restricted to regions. */
   readonly regionByZone: ReadonlyMap<string, string>
   readonly readLoadFactor: () => number
 }
 
-export type Choice = {
+export type SelectionInput = {
   readonly request: GatewayRequest
   readonly service: string
   readonly bodyBytes: number
@@ -26,34 +26,34 @@
 }
 
 /** Average size in bytes of a non-streaming answer, and of one token in a stream, headers included. */
-const WHOLE_ANSWER_BYTES = 1_200
+const PLAIN_ANSWER_BYTES = 1_200
 const BYTES_PER_TOKEN = 30
 
 /** Fraction of the configured load factor that placement uses, as a margin: load counts of other nodes are up to a quarter of a second old. */
-const BOUND_SHARE = 0.96
+const LOAD_FACTOR_SHARE = 0.96
 
-const listUntried = ({ registry }: ChoiceDependencies, { service, tried }: Choice): readonly BackendInstance[] =>
+const listUntried = ({ registry }: SelectionDependencies, { service, tried }: SelectionInput): readonly BackendInstance[] =>
   registry.list(service).filter(({ id }) => !tried.has(id))
 
-const judge = ({ zoneDrains, warmUp, regionByZone }: ChoiceDependencies, { allowedRegions }: Choice, instance: BackendInstance): InstanceEligibility => checkInstanceEligibility({
+const evaluate = ({ zoneDrains, warmUp, regionByZone }: SelectionDependencies, { allowedRegions }: SelectionInput, instance: BackendInstance): InstanceEligibility => checkInstanceEligibility({
   region: regionByZone.get(instance.availabilityZone),
   isZoneDrained: zoneDrains.isDrained(instance.availabilityZone),
-  isAtWarmUpRate: warmUp.isAtRate(instance)
+  isAtWarmUpRate: warmUp.isLimitReached(instance)
 }, allowedRegions)
 
 /** Why no backend server is eligible for the request; `undefined` where all of them were tried. */
-export const findBarrier = (dependencies: ChoiceDependencies, choice: Choice): InstanceEligibility | undefined =>
-  selectVerdict(listUntried(dependencies, choice).map((instance) => judge(dependencies, choice, instance)))
+export const findIneligibility = (dependencies: SelectionDependencies, input: SelectionInput): InstanceEligibility | undefined =>
+  selectVerdict(listUntried(dependencies, input).map((instance) => evaluate(dependencies, input, instance)))
 
 /** Suspended servers are used only when no other is left: a server that probably fails is better than a refusal. */
-const listUsable = (dependencies: ChoiceDependencies, choice: Choice): readonly BackendInstance[] => {
-  const open = listUntried(dependencies, choice).filter((instance) => judge(dependencies, choice, instance) === 'open')
-  const usable = open.filter((instance) => !dependencies.health.isHeld(instance))
-  return usable.length > 0 ? usable : open
+const listUsable = (dependencies: SelectionDependencies, input: SelectionInput): readonly BackendInstance[] => {
+  const eligible = listUntried(dependencies, input).filter((instance) => evaluate(dependencies, input, instance) === 'open')
+  const usable = eligible.filter((instance) => !dependencies.health.isSuspended(instance))
+  return usable.length > 0 ? usable : eligible
 }
 
 /** Load estimate at the time of the choice, in requests in flight. */
-export type LoadBelief = {
+export type LoadEstimate = {
   /** Load of the chosen server, without this request. */
   readonly load: number
   /** Mean load over all servers of the service. */
@@ -64,14 +64,14 @@
   readonly underBound: number
 }
 
-export type ChosenInstance = {
+export type SelectedInstance = {
   readonly instance: BackendInstance
   /** Another server that has a longer cached prefix of the prompt; it may be leaving, as long as it still serves. */
   readonly copyPromptFrom: BackendInstance | undefined
-  readonly belief: LoadBelief
+  readonly loadEstimate: LoadEstimate
 }
 
-const describeBelief = (id: string, candidates: readonly InstanceCandidate[], meanLoad: number, weights: PlacementWeights): LoadBelief => {
+const createLoadEstimate = (id: string, candidates: readonly InstanceCandidate[], meanLoad: number, weights: PlacementWeights): LoadEstimate => {
   const bound = computeLoadBound(meanLoad, weights)
   return {
     load: candidates.find((candidate) => candidate.id === id)?.load ?? 0,
@@ -86,7 +86,7 @@
  * Mean load over every server of the service, including leaving servers and those that are not eligible: the
  * load bound is defined as a multiple of that mean. The fewer servers are eligible, the less headroom each has.
  */
-const computeMeanLoad = ({ registry, loadView }: ChoiceDependencies, service: string): number => {
+const computeMeanLoad = ({ registry, loadView }: SelectionDependencies, service: string): number => {
   const loads = registry.all().filter((instance) => instance.service === service).map((instance) => loadView.estimateInFlight(formatInstanceKey(instance)))
   return loads.reduce((sum, load) => sum + load, 0) / Math.max(1, loads.length)
 }
@@ -97,47 +97,47 @@
  * prefix copied from them need not be computed again. Excludes regions where the request
  * may not be served.
  */
-const listKeepers = (dependencies: ChoiceDependencies, choice: Choice, kept: ReadonlyMap<string, number>): readonly PromptKeeper[] => {
-  if (kept.size === 0) return []
+const listPrefixCaches = (dependencies: SelectionDependencies, input: SelectionInput, cachedTokensByKey: ReadonlyMap<string, number>): readonly PromptKeeper[] => {
+  if (cachedTokensByKey.size === 0) return []
   const { registry, health } = dependencies
   return [...registry.all(), ...registry.recentlyRemoved()]
-    .filter((instance) => instance.service === choice.service && kept.has(formatInstanceKey(instance)) && !health.isHeld(instance))
-    .filter((instance) => judge(dependencies, choice, instance) !== 'regionNotAllowed')
-    .map((instance) => ({ id: instance.id, availabilityZone: instance.availabilityZone, keptTokens: kept.get(formatInstanceKey(instance)) ?? 0 }))
+    .filter((instance) => instance.service === input.service && cachedTokensByKey.has(formatInstanceKey(instance)) && !health.isSuspended(instance))
+    .filter((instance) => evaluate(dependencies, input, instance) !== 'regionNotAllowed')
+    .map((instance) => ({ id: instance.id, availabilityZone: instance.availabilityZone, keptTokens: cachedTokensByKey.get(formatInstanceKey(instance)) ?? 0 }))
 }
 
 /** Returns the selected server, or `undefined` when the service has no eligible one that was not tried. */
-export const chooseInstance = (dependencies: ChoiceDependencies, choice: Choice): ChosenInstance | undefined => {
-  const { request, bodyBytes } = choice
+export const selectInstance = (dependencies: SelectionDependencies, input: SelectionInput): SelectedInstance | undefined => {
+  const { request, bodyBytes } = input
   const { directory, loadView, health, random, registry } = dependencies
-  const usable = listUsable(dependencies, choice)
+  const usable = listUsable(dependencies, input)
   // The last part is unique to the request and can't be cached.
   const shared = request.promptParts.slice(0, -1)
-  const kept = directory.listCachedTokens(shared)
-  const handicapOf = health.compareWith(usable)
+  const cachedTokensByKey = directory.listCachedTokens(shared)
+  const costOf = health.compareWith(usable)
   const candidates: readonly InstanceCandidate[] = usable.map((instance) => ({
     id: instance.id,
     slots: instance.slots,
     load: loadView.estimateInFlight(formatInstanceKey(instance)),
-    keptTokens: kept.get(formatInstanceKey(instance)) ?? 0,
+    keptTokens: cachedTokensByKey.get(formatInstanceKey(instance)) ?? 0,
     availabilityZone: instance.availabilityZone,
-    slowness: handicapOf(instance)
+    slowness: costOf(instance)
   }))
-  const meanLoad = computeMeanLoad(dependencies, choice.service)
-  const weights = { ...defaultPlacementWeights, boundFactor: BOUND_SHARE * dependencies.readLoadFactor() }
+  const meanLoad = computeMeanLoad(dependencies, input.service)
+  const weights = { ...defaultPlacementWeights, boundFactor: LOAD_FACTOR_SHARE * dependencies.readLoadFactor() }
   const placement = placeRequest({
     affinityKey: shared.at(-1)?.id ?? '',
     sharedTokens: shared.reduce((sum, part) => sum + part.tokens, 0),
-    expectedBytes: bodyBytes + (request.promptParts.length > 0 ? BYTES_PER_TOKEN * request.tokens.output : WHOLE_ANSWER_BYTES),
+    expectedBytes: bodyBytes + (request.promptParts.length > 0 ? BYTES_PER_TOKEN * request.tokens.output : PLAIN_ANSWER_BYTES),
     availabilityZone: dependencies.availabilityZone,
     meanLoad
-  }, candidates, listKeepers(dependencies, choice, kept), random.next, weights)
+  }, candidates, listPrefixCaches(dependencies, input, cachedTokensByKey), random.next, weights)
   const instance = usable.find(({ id }) => id === placement?.id)
   if (instance === undefined) return undefined
   const source = placement?.copyFrom
   return {
     instance,
     copyPromptFrom: source === undefined ? undefined : registry.find(source) ?? registry.recentlyRemoved().find(({ id }) => id === source),
-    belief: describeBelief(instance.id, candidates, meanLoad, weights)
+    loadEstimate: createLoadEstimate(instance.id, candidates, meanLoad, weights)
   }
 }
--- a/src/services/forwarding/index.ts
+++ b/src/services/forwarding/index.ts
@@ -3,12 +3,12 @@
  * route and the client account, and runs one timer that checks the deadlines and idle
  * times of all open requests; `createRun` handles a single request.
  */
-import { createRun } from './_lib/createRun.js'
-import type { Run, RunContext } from './_lib/run.js'
-import { createRepeatBudgets } from './_lib/createRepeatBudgets.js'
-import { createStopGate } from './_lib/createStopGate.js'
+import { createRequestHandler } from './_lib/createRequestHandler.js'
+import type { RequestHandler, RequestHandlerContext } from './_lib/requestHandler.js'
+import { createRetryWindows } from './_lib/createRetryWindows.js'
+import { createShutdownGate } from './_lib/createShutdownGate.js'
 import { createStreamDurations } from './_lib/createStreamDurations.js'
-import { createTimeToFirstBytes } from './_lib/createTimeToFirstBytes.js'
+import { createFirstByteTimes } from './_lib/createFirstByteTimes.js'
 import { createTokenPace } from './_lib/createTokenPace.js'
 import { findAccount } from './_lib/findAccount.js'
 import type { RetryWindowLimits } from '../../decisions/grantRetry/index.js'
@@ -23,7 +23,7 @@
 } from '../../types/index.js'
 import type { InstanceHealth } from '../instanceHealth/index.js'
 import type { PromptDirectory } from '../promptDirectory/index.js'
-import type { WarmUp } from '../warmUp/index.js'
+import type { WarmUpLimiter } from '../warmUpLimiter/index.js'
 
 export type ForwardingDependencies = {
   readonly clock: Clock
@@ -37,7 +37,7 @@
   readonly loadView: LoadView
   readonly membership: Pick<Membership, 'members'>
   readonly zoneDrains: Pick<ZoneDrains, 'isDrained' | 'isKnown' | 'onChange' | 'revision'>
-  readonly warmUp: WarmUp
+  readonly warmUp: WarmUpLimiter
   readonly client: InstanceClient
 }
 
@@ -45,7 +45,7 @@
 export type ForwardingBounds = {
   /** Highest load of a backend server, as a multiple of the mean load of its service. */
   readonly loadFactor: number
-  readonly repeatLimits: RetryWindowLimits
+  readonly retryLimits: RetryWindowLimits
   /** A key whose validity was last confirmed longer ago than this is not accepted; in milliseconds. */
   readonly keyFreshnessMs: number
   /** A configuration confirmed longer ago than this is no proof that a route or key does not exist; in milliseconds. */
@@ -53,7 +53,7 @@
 }
 
 /** A request that arrived before the node had its first configuration, server list and zone drains. */
-type Waiting = { readonly request: GatewayRequest, readonly admitNow: () => void }
+type DeferredRequest = { readonly request: GatewayRequest, readonly admitNow: () => void }
 
 export type ForwardingOptions = {
   readonly availabilityZone: string
@@ -69,11 +69,11 @@
  * backend server list, in milliseconds. Both arrive within about 50 ms of the start,
  * while a refusal would cost the caller half a second.
  */
-const FIRST_KNOWLEDGE_WAIT_MS = 400
+const INITIAL_STATE_WAIT_MS = 400
 /** Time after the start in which a node defers requests until its initial state arrives, in milliseconds; later it refuses them. */
-const YOUNG_MS = 1_500
+const STARTUP_MS = 1_500
 /** Retry-After of a refusal because state is missing or stale, in milliseconds; the source is read again within that time. */
-const UNKNOWN_RETRY_MS = 500
+const MISSING_STATE_RETRY_AFTER_MS = 500
 
 const NO_REGIONS: ReadonlyMap<string, string> = new Map()
 
@@ -91,13 +91,13 @@
 export const createForwarding = (dependencies: ForwardingDependencies, options: ForwardingOptions): RunningService<Forwarding> => {
   const { clock, configuration, registry, zoneDrains } = dependencies
   const startedAt = clock.now()
-  const waitingForKnowledge = new Map<Run, Waiting>()
-  const runs = new Set<Run>()
-  const budgets = createRepeatBudgets(() => options.readBounds().repeatLimits, () => dependencies.membership.members().length, clock)
-  const usualTimes = createTimeToFirstBytes()
+  const deferredRequests = new Map<RequestHandler, DeferredRequest>()
+  const handlers = new Set<RequestHandler>()
+  const retryWindows = createRetryWindows(() => options.readBounds().retryLimits, () => dependencies.membership.members().length, clock)
+  const firstByteTimes = createFirstByteTimes()
   const tokenPace = createTokenPace()
   const streamDurations = createStreamDurations()
-  const stopGate = createStopGate({ clock, tokenPace, streamDurations })
+  const shutdownGate = createShutdownGate({ clock, tokenPace, streamDurations })
   let timer: Timer | undefined
   let index: ReadonlyMap<string, readonly GatewayRoute[]> | undefined
 
@@ -113,41 +113,41 @@
 
   /** A node whose configuration may be stale can't tell that something does not exist. */
   const refuseUnknown = (refusal: GatewayRefusal): GatewayRefusal =>
-    isUpToDate() ? refusal : { status: 503, reason: 'noConfiguration', retryAfterMs: UNKNOWN_RETRY_MS }
+    isUpToDate() ? refusal : { status: 503, reason: 'noConfiguration', retryAfterMs: MISSING_STATE_RETRY_AFTER_MS }
 
   const tick = (): void => {
-    timer = runs.size > 0 ? clock.setTimer(TICK_MS, tick) : undefined
+    timer = handlers.size > 0 ? clock.setTimer(TICK_MS, tick) : undefined
     const now = clock.now()
-    for (const run of [...runs]) run.check(now)
+    for (const handler of [...handlers]) handler.check(now)
   }
 
-  const context: Omit<RunContext, 'onDone'> = {
+  const context: Omit<RequestHandlerContext, 'onDone'> = {
     ...dependencies,
     availabilityZone: options.availabilityZone,
     regionByZone: options.regionByZone ?? NO_REGIONS,
     readLoadFactor: () => options.readBounds().loadFactor,
     readKeyFreshnessMs: () => options.readBounds().keyFreshnessMs,
-    budgets,
-    usualTimes,
+    retryWindows,
+    firstByteTimes,
     tokenPace,
     streamDurations,
-    stopGate
+    shutdownGate
   }
 
-  const isKnowing = (): boolean => configuration.current() !== undefined && registry.isKnown() && zoneDrains.isKnown()
+  const hasInitialState = (): boolean => configuration.current() !== undefined && registry.isKnown() && zoneDrains.isKnown()
 
-  const admit = (run: Run, request: GatewayRequest): void => {
+  const admit = (handler: RequestHandler, request: GatewayRequest): void => {
     const current = configuration.current()
-    if (current === undefined || !isKnowing()) return run.reject({ status: 503, reason: 'noConfiguration', retryAfterMs: UNKNOWN_RETRY_MS })
+    if (current === undefined || !hasInitialState()) return handler.reject({ status: 503, reason: 'noConfiguration', retryAfterMs: MISSING_STATE_RETRY_AFTER_MS })
     const route = selectGatewayRoute(readIndex(), request.host, request.target)
-    if (route === undefined) return run.reject(refuseUnknown({ status: 404, reason: 'unknownRoute' }))
+    if (route === undefined) return handler.reject(refuseUnknown({ status: 404, reason: 'unknownRoute' }))
     const account = findAccount(current, route, request.credential)
-    if (account === 'unknown') return run.reject(refuseUnknown({ status: 401, reason: 'unknownKey' }))
-    run.assign(route, account)
+    if (account === 'unknown') return handler.reject(refuseUnknown({ status: 401, reason: 'unknownKey' }))
+    handler.assign(route, account)
   }
 
   /** Input of the order in which deferred requests are sent. A request without a route gets a target of 0: it is refused whenever its turn comes. */
-  const toHeld = ({ request, admitNow }: Waiting): HeldRequest & Pick<Waiting, 'admitNow'> => {
+  const toOrderInput = ({ request, admitNow }: DeferredRequest): HeldRequest & Pick<DeferredRequest, 'admitNow'> => {
     const route = selectGatewayRoute(readIndex(), request.host, request.target)
     const ageMs = clock.now() - request.receivedAt
     return {
@@ -158,39 +158,39 @@
     }
   }
 
-  const admitWaiting = (): void => {
-    if (!isKnowing()) return
-    for (const { admitNow } of orderHeld([...waitingForKnowledge.values()].map(toHeld))) admitNow()
+  const admitDeferred = (): void => {
+    if (!hasInitialState()) return
+    for (const { admitNow } of orderHeld([...deferredRequests.values()].map(toOrderInput))) admitNow()
   }
 
-  configuration.onChange(admitWaiting)
-  registry.onChange(admitWaiting)
-  zoneDrains.onChange(admitWaiting)
+  configuration.onChange(admitDeferred)
+  registry.onChange(admitDeferred)
+  zoneDrains.onChange(admitDeferred)
 
-  const admitLater = (run: Run, request: GatewayRequest): void => {
+  const deferRequest = (handler: RequestHandler, request: GatewayRequest): void => {
     const admitNow = (): void => {
-      if (!waitingForKnowledge.delete(run)) return
+      if (!deferredRequests.delete(handler)) return
       limit.cancel()
-      admit(run, request)
+      admit(handler, request)
     }
-    const limit = clock.setTimer(FIRST_KNOWLEDGE_WAIT_MS, admitNow)
-    waitingForKnowledge.set(run, { request, admitNow })
+    const limit = clock.setTimer(INITIAL_STATE_WAIT_MS, admitNow)
+    deferredRequests.set(handler, { request, admitNow })
   }
 
-  const isYoung = (): boolean => clock.now() - startedAt < YOUNG_MS
+  const isStarting = (): boolean => clock.now() - startedAt < STARTUP_MS
 
   return {
     api: {
       begin: (request, sink) => {
-        const run = createRun({ ...context, onDone: () => { runs.delete(run) } }, request, sink)
-        runs.add(run)
+        const handler = createRequestHandler({ ...context, onDone: () => { handlers.delete(handler) } }, request, sink)
+        handlers.add(handler)
         timer ??= clock.setTimer(TICK_MS, tick)
-        if (isKnowing() || !isYoung()) admit(run, request)
-        else admitLater(run, request)
-        return run
+        if (hasInitialState() || !isStarting()) admit(handler, request)
+        else deferRequest(handler, request)
+        return handler
       },
-      openRequests: () => runs.size,
-      beginShutdown: stopGate.begin
+      openRequests: () => handlers.size,
+      beginShutdown: shutdownGate.begin
     },
     stop: () => timer?.cancel()
   }
--- a/src/services/forwarding/test.ts
+++ b/src/services/forwarding/test.ts
@@ -74,12 +74,12 @@
       markGone: () => {},
       onChange: () => {}
     },
-    health: { began: () => {}, ended: () => {}, heard: () => {}, record: () => {}, isHeld: () => false, silentMs: () => 0, compareWith: () => () => 1, retain: () => {} },
+    health: { recordStart: () => {}, recordEnd: () => {}, recordBytes: () => {}, record: () => {}, isSuspended: () => false, readIdleMs: () => 0, compareWith: () => () => 1, retain: () => {} },
     directory: { record: () => {}, listCachedTokens: () => new Map(), onRecovered: () => {} },
     loadView: { recordStart: () => {}, recordEnd: () => {}, estimateInFlight: () => 0, ownInFlight: () => 0, applyReport: () => {} },
     membership: { members: () => [MEMBER] },
     zoneDrains: { isDrained: () => false, isKnown: () => true, revision: () => 0, onChange: () => {} },
-    warmUp: { leftMs: () => 0, isAtRate: () => false, noteSend: () => {} },
+    warmUp: { remainingMs: () => 0, isLimitReached: () => false, recordSend: () => {} },
     client: {
       send: ({ request }, exchange) => {
         sent.push(request.requestId)
@@ -93,7 +93,7 @@
   }
   const forwarding = createForwarding(dependencies, {
     availabilityZone: 'a',
-    readBounds: () => ({ loadFactor: 2, repeatLimits: { ratio: 0.2, extra: 50, windowMs: 10_000 }, keyFreshnessMs: 4_500, configurationFreshnessMs: 2_000 })
+    readBounds: () => ({ loadFactor: 2, retryLimits: { ratio: 0.2, extra: 50, windowMs: 10_000 }, keyFreshnessMs: 4_500, configurationFreshnessMs: 2_000 })
   })
   const sink: CallerSink = { refuse: ({ status, reason }) => { answers.push(`${status} ${reason}`) }, whole: () => {}, head: () => {}, data: () => true, onDrain: () => {}, end: () => {}, fail: () => { answers.push('broken off') } }
   return {
--- a/src/services/instanceHealth/index.ts
+++ b/src/services/instanceHealth/index.ts
@@ -10,28 +10,28 @@
 
 export type InstanceHealth = {
   /** A request was sent to the server. */
-  readonly began: (instance: BackendInstance) => void
+  readonly recordStart: (instance: BackendInstance) => void
   /** A request at the server has ended, whatever its outcome. */
-  readonly ended: (instance: BackendInstance) => void
+  readonly recordEnd: (instance: BackendInstance) => void
   /** Bytes arrived from the server, on any exchange. */
-  readonly heard: (instance: BackendInstance) => void
+  readonly recordBytes: (instance: BackendInstance) => void
   readonly record: (instance: BackendInstance, event: InstanceHealthEvent) => void
   /** Whether the server or its availability zone is suspended: it gets no requests while others are left. */
-  readonly isHeld: (instance: BackendInstance) => boolean
+  readonly isSuspended: (instance: BackendInstance) => boolean
   /** Milliseconds since bytes last arrived from the server, while a request waits there; 0 when none does. */
-  readonly silentMs: (instance: BackendInstance) => number
+  readonly readIdleMs: (instance: BackendInstance) => number
   /** Returns a function that computes the cost of a request at a server as a multiple of the median of `peers`; at least 1. */
   readonly compareWith: (peers: readonly BackendInstance[]) => (instance: BackendInstance) => number
   /** Drops the state of all servers but those with the given keys. */
   readonly retain: (live: ReadonlySet<string>) => void
 }
 
-type Contact = { open: number, quietSince: number }
+type Activity = { openRequests: number, idleSince: number }
 
 /** Interval at which suspended servers whose suspension has ended are probed, in milliseconds. */
 const PROBE_TICK_MS = 200
 /** Number of unreachable servers at which the whole availability zone counts as unreachable: a single one may just be down. */
-const SERVERS_OF_CUT_ZONE = 2
+const MINIMUM_UNREACHABLE_SERVERS = 2
 /** Slowness, and error share above the median, that add no cost: normal answers vary by as much. */
 const TOLERATED_SLOWNESS = 1.6
 const TOLERATED_ERROR_SHARE = 0.12
@@ -44,7 +44,7 @@
 }
 
 /** Reachability of one availability zone. */
-type ZoneContact = { heardAt: number, readonly unreachableAt: Map<string, number> }
+type ZoneReachability = { reachedAt: number, readonly unreachableAt: Map<string, number> }
 
 /**
  * Creates the health service of one node.
@@ -63,125 +63,125 @@
 export const createInstanceHealth = (dependencies: { readonly clock: Clock, readonly logger: Logger, readonly client: Pick<InstanceClient, 'probe'> }): RunningService<InstanceHealth> => {
   const { clock, logger, client } = dependencies
   const conditions = new Map<string, InstanceHealthState>()
-  const contacts = new Map<string, Contact>()
-  const zones = new Map<string, ZoneContact>()
-  const unproved = new Map<string, BackendInstance>()
+  const activities = new Map<string, Activity>()
+  const zones = new Map<string, ZoneReachability>()
+  const awaitingProbe = new Map<string, BackendInstance>()
   const probing = new Set<string>()
   let timer: Timer | undefined
   let isStopped = false
 
-  const conditionOf = (instance: BackendInstance): InstanceHealthState => conditions.get(formatInstanceKey(instance)) ?? initialInstanceHealth
+  const readCondition = (instance: BackendInstance): InstanceHealthState => conditions.get(formatInstanceKey(instance)) ?? initialInstanceHealth
 
-  const contactOf = (instance: BackendInstance): Contact => {
+  const findActivity = (instance: BackendInstance): Activity => {
     const key = formatInstanceKey(instance)
-    const known = contacts.get(key)
+    const known = activities.get(key)
     if (known !== undefined) return known
-    const created = { open: 0, quietSince: clock.now() }
-    contacts.set(key, created)
+    const created = { openRequests: 0, idleSince: clock.now() }
+    activities.set(key, created)
     return created
   }
 
-  const zoneOf = (name: string): ZoneContact => {
+  const findZone = (name: string): ZoneReachability => {
     const known = zones.get(name)
     if (known !== undefined) return known
-    const created = { heardAt: -Infinity, unreachableAt: new Map() }
+    const created = { reachedAt: -Infinity, unreachableAt: new Map() }
     zones.set(name, created)
     return created
   }
 
-  const noteZoneHeard = (instance: BackendInstance): void => {
-    const zone = zoneOf(instance.availabilityZone)
-    zone.heardAt = clock.now()
+  const recordZoneReached = (instance: BackendInstance): void => {
+    const zone = findZone(instance.availabilityZone)
+    zone.reachedAt = clock.now()
     if (zone.unreachableAt.size > 0) zone.unreachableAt.clear()
   }
 
-  const noteZoneUnreachable = (instance: BackendInstance): void => {
-    const zone = zoneOf(instance.availabilityZone)
+  const recordZoneUnreachable = (instance: BackendInstance): void => {
+    const zone = findZone(instance.availabilityZone)
     zone.unreachableAt.set(formatInstanceKey(instance), clock.now())
-    if (zone.unreachableAt.size === SERVERS_OF_CUT_ZONE) logger.warn('availability zone held', { zone: instance.availabilityZone, unheardMs: Math.round(clock.now() - zone.heardAt) })
+    if (zone.unreachableAt.size === MINIMUM_UNREACHABLE_SERVERS) logger.warn('availability zone held', { zone: instance.availabilityZone, unheardMs: Math.round(clock.now() - zone.reachedAt) })
   }
 
-  const isZoneHeld = (name: string): boolean => (zones.get(name)?.unreachableAt.size ?? 0) >= SERVERS_OF_CUT_ZONE
+  const isZoneSuspended = (name: string): boolean => (zones.get(name)?.unreachableAt.size ?? 0) >= MINIMUM_UNREACHABLE_SERVERS
 
-  const isHeldItself = (instance: BackendInstance): boolean => {
-    const condition = conditionOf(instance)
+  const isInstanceSuspended = (instance: BackendInstance): boolean => {
+    const condition = readCondition(instance)
     return condition.suspendedUntil > clock.now() || condition.needsProbe
   }
 
-  const findUsual = (peers: readonly BackendInstance[]): Pick<InstanceHealthState, 'errorShare' | 'slowness'> => {
-    const all = peers.map(conditionOf)
+  const computeMedianCondition = (peers: readonly BackendInstance[]): Pick<InstanceHealthState, 'errorShare' | 'slowness'> => {
+    const all = peers.map(readCondition)
     return { errorShare: median(all.map(({ errorShare }) => errorShare)), slowness: Math.max(1, median(all.map(({ slowness }) => slowness))) }
   }
 
   const record = (instance: BackendInstance, event: InstanceHealthEvent): void => {
-    const wasHeld = isHeldItself(instance)
-    const before = conditionOf(instance)
+    const wasSuspended = isInstanceSuspended(instance)
+    const before = readCondition(instance)
     const after = advanceInstanceHealth(before, event, clock.now())
     conditions.set(formatInstanceKey(instance), after)
-    if (event.kind === 'unreachable') noteZoneUnreachable(instance)
-    if (event.kind === 'reached' || event.kind === 'answered') noteZoneHeard(instance)
-    if (after.needsProbe) watch(instance)
-    else unproved.delete(formatInstanceKey(instance))
-    const isHeld = isHeldItself(instance)
-    if (isHeld && !wasHeld) logger.warn('backend server held', { backendServer: instance.id, service: instance.service, event: event.kind, failures: after.consecutiveFailures, holdMs: Math.round(after.suspendedUntil - clock.now()) })
-    if (wasHeld && !isHeld) logger.info('backend server back', { backendServer: instance.id, service: instance.service, event: event.kind })
+    if (event.kind === 'unreachable') recordZoneUnreachable(instance)
+    if (event.kind === 'reached' || event.kind === 'answered') recordZoneReached(instance)
+    if (after.needsProbe) scheduleProbe(instance)
+    else awaitingProbe.delete(formatInstanceKey(instance))
+    const isSuspended = isInstanceSuspended(instance)
+    if (isSuspended && !wasSuspended) logger.warn('backend server held', { backendServer: instance.id, service: instance.service, event: event.kind, failures: after.consecutiveFailures, holdMs: Math.round(after.suspendedUntil - clock.now()) })
+    if (wasSuspended && !isSuspended) logger.info('backend server back', { backendServer: instance.id, service: instance.service, event: event.kind })
   }
 
   const probe = async (key: string, instance: BackendInstance): Promise<void> => {
     probing.add(key)
     const isReached = await client.probe(instance)
     probing.delete(key)
-    if (isStopped || !unproved.has(key)) return
+    if (isStopped || !awaitingProbe.has(key)) return
     record(instance, { kind: isReached ? 'reached' : 'unreachable' })
   }
 
   const probeDue = (): void => {
     timer = undefined
     const now = clock.now()
-    for (const [key, instance] of unproved) {
-      if (!probing.has(key) && conditionOf(instance).suspendedUntil <= now) probe(key, instance)
+    for (const [key, instance] of awaitingProbe) {
+      if (!probing.has(key) && readCondition(instance).suspendedUntil <= now) probe(key, instance)
     }
-    if (unproved.size > 0 && !isStopped) timer = clock.setTimer(PROBE_TICK_MS, probeDue)
+    if (awaitingProbe.size > 0 && !isStopped) timer = clock.setTimer(PROBE_TICK_MS, probeDue)
   }
 
-  const watch = (instance: BackendInstance): void => {
-    unproved.set(formatInstanceKey(instance), instance)
+  const scheduleProbe = (instance: BackendInstance): void => {
+    awaitingProbe.set(formatInstanceKey(instance), instance)
     timer ??= clock.setTimer(PROBE_TICK_MS, probeDue)
   }
 
   const api: InstanceHealth = {
-    began: (instance) => {
-      const contact = contactOf(instance)
-      if (contact.open === 0) contact.quietSince = clock.now()
-      contact.open += 1
+    recordStart: (instance) => {
+      const activity = findActivity(instance)
+      if (activity.openRequests === 0) activity.idleSince = clock.now()
+      activity.openRequests += 1
     },
-    ended: (instance) => { contactOf(instance).open -= 1 },
-    heard: (instance) => {
-      contactOf(instance).quietSince = clock.now()
-      noteZoneHeard(instance)
+    recordEnd: (instance) => { findActivity(instance).openRequests -= 1 },
+    recordBytes: (instance) => {
+      findActivity(instance).idleSince = clock.now()
+      recordZoneReached(instance)
     },
     record,
-    isHeld: (instance) => isHeldItself(instance) || isZoneHeld(instance.availabilityZone),
-    silentMs: (instance) => {
-      const contact = contactOf(instance)
-      return contact.open > 0 ? clock.now() - contact.quietSince : 0
+    isSuspended: (instance) => isInstanceSuspended(instance) || isZoneSuspended(instance.availabilityZone),
+    readIdleMs: (instance) => {
+      const activity = findActivity(instance)
+      return activity.openRequests > 0 ? clock.now() - activity.idleSince : 0
     },
     compareWith: (peers) => {
-      let usual: Pick<InstanceHealthState, 'errorShare' | 'slowness'> | undefined
+      let medianCondition: Pick<InstanceHealthState, 'errorShare' | 'slowness'> | undefined
       return (instance) => {
-        const condition = conditionOf(instance)
+        const condition = readCondition(instance)
         if (condition.slowness < TOLERATED_SLOWNESS && condition.errorShare < TOLERATED_ERROR_SHARE) return 1
-        usual ??= findUsual(peers)
-        const relative = condition.slowness / usual.slowness
+        medianCondition ??= computeMedianCondition(peers)
+        const relative = condition.slowness / medianCondition.slowness
         const slowness = relative < TOLERATED_SLOWNESS ? 1 : relative
-        const errors = Math.max(0, condition.errorShare - usual.errorShare - TOLERATED_ERROR_SHARE)
+        const errors = Math.max(0, condition.errorShare - medianCondition.errorShare - TOLERATED_ERROR_SHARE)
         return slowness + ERROR_WEIGHT * errors
       }
     },
     retain: (live) => {
       for (const key of conditions.keys()) if (!live.has(key)) conditions.delete(key)
-      for (const [key, contact] of contacts) if (!live.has(key) && contact.open === 0) contacts.delete(key)
-      for (const key of unproved.keys()) if (!live.has(key)) unproved.delete(key)
+      for (const [key, activity] of activities) if (!live.has(key) && activity.openRequests === 0) activities.delete(key)
+      for (const key of awaitingProbe.keys()) if (!live.has(key)) awaitingProbe.delete(key)
       for (const { unreachableAt } of zones.values()) for (const key of unreachableAt.keys()) if (!live.has(key)) unreachableAt.delete(key)
     }
   }
--- a/src/services/instanceRegistry/_lib/createChangeLog.ts
+++ b/src/services/instanceRegistry/_lib/createChangeLog.ts
@@ -6,24 +6,24 @@
 import type { ChangePosition } from '../../../types/index.js'
 
 export type ChangeLog = {
-  readonly note: (name: string) => void
+  readonly record: (name: string) => void
   readonly position: () => ChangePosition
   /** Returns the names that changed since the position, or `undefined` when the log does not reach back that far. */
   readonly listSince: (position: ChangePosition | undefined) => ReadonlySet<string> | undefined
 }
 
 /** A release that replaces six hundred servers makes about eighteen hundred changes; a peer that lacks more gets the complete list. */
-const CHANGES_KEPT = 2_000
+const MAXIMUM_CHANGES = 2_000
 
 /** Creates an empty log; `origin` distinguishes it from logs of earlier runs and other nodes. */
 export const createChangeLog = (origin: number): ChangeLog => {
   const names: string[] = []
   let sequence = 0
   return {
-    note: (name) => {
+    record: (name) => {
       sequence += 1
       names.push(name)
-      if (names.length > CHANGES_KEPT) names.shift()
+      if (names.length > MAXIMUM_CHANGES) names.shift()
     },
     position: () => ({ origin, sequence }),
     listSince: (position) => {
--- a/src/services/instanceRegistry/_lib/createRemovals.ts
+++ b/src/services/instanceRegistry/_lib/createRemovals.ts
@@ -7,9 +7,9 @@
 import type { BackendInstance, Clock } from '../../../types/index.js'
 
 export type Removals = {
-  readonly note: (instance: BackendInstance, revision: number) => void
+  readonly record: (instance: BackendInstance, revision: number) => void
   /** Whether this incarnation of the server was removed at the given revision or a later one; an entry that was added again has a higher revision. */
-  readonly isAsNewAs: (instance: BackendInstance, revision: number) => boolean
+  readonly isRemovedAsOf: (instance: BackendInstance, revision: number) => boolean
   /** Lists the removed servers that presumably still serve, latest first. */
   readonly listDraining: () => readonly BackendInstance[]
   /** The server no longer exists: another one has its address. */
@@ -19,21 +19,21 @@
 type Removal = { readonly instance: BackendInstance, readonly revision: number, readonly at: number, isGone: boolean }
 
 /** Equal to the length of the change log: a peer that lags more gets complete lists. */
-const REMOVALS_KEPT = 2_000
+const MAXIMUM_REMOVALS = 2_000
 
 /** Creates the record; `drainMs` is how long a server still serves after its entry was removed, in milliseconds. */
 export const createRemovals = (clock: Pick<Clock, 'now'>, drainMs: number): Removals => {
   const removals = new Map<string, Removal>()
 
   return {
-    note: (instance, revision) => {
+    record: (instance, revision) => {
       removals.delete(instance.id)
       removals.set(instance.id, { instance, revision, at: clock.now(), isGone: false })
-      if (removals.size <= REMOVALS_KEPT) return
+      if (removals.size <= MAXIMUM_REMOVALS) return
       const [oldest] = removals.keys()
       if (oldest !== undefined) removals.delete(oldest)
     },
-    isAsNewAs: (instance, revision) => {
+    isRemovedAsOf: (instance, revision) => {
       const removal = removals.get(instance.id)
       return removal !== undefined && removal.revision >= revision && instance.incarnation <= removal.instance.incarnation
     },
--- a/src/services/instanceRegistry/index.ts
+++ b/src/services/instanceRegistry/index.ts
@@ -6,8 +6,8 @@
 import { isDeepStrictEqual } from 'node:util'
 import { createChangeLog } from './_lib/createChangeLog.js'
 import { createRemovals } from './_lib/createRemovals.js'
-import { createWarmUps } from './_lib/createWarmUps.js'
-import type { EntryOrigin } from './_lib/createWarmUps.js'
+import { createWarmUpDeadlines } from './_lib/createWarmUpDeadlines.js'
+import type { EntryOrigin } from './_lib/createWarmUpDeadlines.js'
 import { createSourceFollower } from '../_lib/createSourceFollower.js'
 import type { SourceFollowerOptions, SourceReading } from '../_lib/createSourceFollower.js'
 import { success } from '../../kernel/index.js'
@@ -29,9 +29,9 @@
 
 export type RunningInstanceRegistry = RunningService<InstanceRegistry> & {
   /** Applies a peer's list or changes, which are as of `revision` of the source; the peer last reached the source `ageMs` milliseconds ago. */
-  readonly learn: (news: InstanceUpdate, revision: number, ageMs: number) => void
+  readonly applyPeerUpdate: (update: InstanceUpdate, revision: number, ageMs: number) => void
   /** Returns the changes since the position that a peer holds; empty when it holds no usable position and has the same revision. */
-  readonly newsSince: (position: ChangePosition | undefined, revision: number) => InstanceUpdate
+  readonly listChangesSince: (position: ChangePosition | undefined, revision: number) => InstanceUpdate
   readonly position: () => ChangePosition
   readonly isSourceReachable: () => boolean
   /** Called when the source cannot be read. */
@@ -40,7 +40,7 @@
 
 /** Servers whose entries expired in an outage of the source register again within two seconds of its end; after that time a missing one is removed. In milliseconds. */
 const REAPPEAR_MS = 2_000
-const PAGES_AT_MOST = 64
+const MAXIMUM_PAGES = 64
 
 /**
  * Creates the registry.
@@ -60,7 +60,7 @@
   const goneIncarnations = new Map<string, number>()
   const missingSince = new Map<string, number>()
   const removals = createRemovals(clock, options.drainMs ?? 0)
-  const warmUps = createWarmUps(clock)
+  const warmUpDeadlines = createWarmUpDeadlines(clock)
   const listeners: (() => void)[] = []
   const malformed = new Set<string>()
   const changes = createChangeLog(clock.wallTime())
@@ -85,9 +85,9 @@
     if (instance === undefined) return
     instances.delete(name)
     missingSince.delete(name)
-    removals.note(instance, revision)
-    warmUps.forget(instance)
-    changes.note(name)
+    removals.record(instance, revision)
+    warmUpDeadlines.forget(instance)
+    changes.record(name)
     logger.info('backend server removed', { backendServer: name, service: instance.service, reason, revision })
   }
 
@@ -108,16 +108,16 @@
     // A server stays leaving until it restarts: a stale copy of its entry may still show it as ready.
     const isLeaving = instance.isLeaving || (known?.isLeaving === true && known.incarnation === instance.incarnation)
     const next = { ...instance, isLeaving }
-    if (known !== undefined && known.incarnation !== next.incarnation) warmUps.forget(known)
-    const isWarmUpLater = warmUps.note(next, origin)
-    if (isWarmUpLater || !isSameEntry(known, next)) changes.note(name)
+    if (known !== undefined && known.incarnation !== next.incarnation) warmUpDeadlines.forget(known)
+    const isWarmUpLater = warmUpDeadlines.record(next, origin)
+    if (isWarmUpLater || !isSameEntry(known, next)) changes.record(name)
     instances.set(name, next)
     if (known === undefined) logger.info('backend server added', { backendServer: name, service: instance.service, incarnation: instance.incarnation, revision })
     else if (isLeaving && !known.isLeaving) logger.info('backend server leaving', { backendServer: name, service: instance.service, revision })
   }
 
   /** Removes a server whose entry is missing: at once, or after `REAPPEAR_MS` when the source was just reached again. */
-  const miss = (name: string): void => {
+  const removeMissing = (name: string): void => {
     if (!instances.has(name)) return
     if (instances.get(name)?.isLeaving === true || clock.now() - returnedAt > REAPPEAR_MS) return remove(name, 'entry removed')
     if (missingSince.has(name)) return
@@ -133,7 +133,7 @@
     revision = atRevision
     isKnown = true
     const listed = new Set(entries.map(({ name }) => name))
-    for (const name of [...instances.keys()]) if (!listed.has(name)) miss(name)
+    for (const name of [...instances.keys()]) if (!listed.has(name)) removeMissing(name)
     for (const entry of entries) put(entry, origin)
     publish()
   }
@@ -142,7 +142,7 @@
     const entries: InstanceEntry[] = []
     let after: string | undefined
     let listedAt: number | undefined
-    for (let page = 0; page < PAGES_AT_MOST; page++) {
+    for (let page = 0; page < MAXIMUM_PAGES; page++) {
       const result = await source.list(after)
       if (!result.ok) return result
       entries.push(...result.value.entries)
@@ -161,7 +161,7 @@
     return success(() => {
       revision = Math.max(revision, atRevision)
       for (const entry of entries) {
-        if (entry.isRemoved) miss(entry.name)
+        if (entry.isRemoved) removeMissing(entry.name)
         else put(entry, 'change')
       }
       if (entries.length > 0) publish()
@@ -181,8 +181,8 @@
   }, options)
 
   /** The entry as it is sent to peers, with the remaining warm-up as of now. */
-  const toNews = (instance: BackendInstance): BackendInstance =>
-    instance.warmUpMs === 0 ? instance : { ...instance, warmUpMs: Math.round(warmUps.leftMs(instance)) }
+  const toPeerEntry = (instance: BackendInstance): BackendInstance =>
+    instance.warmUpMs === 0 ? instance : { ...instance, warmUpMs: Math.round(warmUpDeadlines.remainingMs(instance)) }
 
   return {
     api: {
@@ -192,7 +192,7 @@
       recentlyRemoved: removals.listDraining,
       revision: () => revision,
       isKnown: () => isKnown,
-      warmUpLeftMs: warmUps.leftMs,
+      warmUpLeftMs: warmUpDeadlines.remainingMs,
       markGone: (instance, reason) => {
         const known = instances.get(instance.id)
         if (known === undefined || known.incarnation !== instance.incarnation) return
@@ -203,27 +203,27 @@
       },
       onChange: (listener) => { listeners.push(listener) }
     },
-    learn: (news, atRevision, ageMs) => {
+    applyPeerUpdate: (update, atRevision, ageMs) => {
       follower.recordRelay(ageMs)
-      if (news.isWhole && atRevision <= revision && isKnown) return
-      const entries = news.instances
-        .filter((instance) => !removals.isAsNewAs(instance, atRevision))
+      if (update.isWhole && atRevision <= revision && isKnown) return
+      const entries = update.instances
+        .filter((instance) => !removals.isRemovedAsOf(instance, atRevision))
         .map((instance) => ({ name: instance.id, instance }))
-      if (news.isWhole) return replaceAll(entries, atRevision, 'peer')
+      if (update.isWhole) return replaceAll(entries, atRevision, 'peer')
       if (!isKnown) return
       revision = Math.max(revision, atRevision)
-      if (entries.length + news.removed.length === 0) return
-      for (const name of news.removed) remove(name, 'removed at a peer')
+      if (entries.length + update.removed.length === 0) return
+      for (const name of update.removed) remove(name, 'removed at a peer')
       for (const entry of entries) put(entry, 'peer')
       publish()
     },
-    newsSince: (position, knownRevision) => {
+    listChangesSince: (position, knownRevision) => {
       const names = changes.listSince(position)
       const isWhole = names === undefined && knownRevision < revision
       // A server whose entry is missing stays in the list for a moment; peers must not learn of it as present.
       const changed = [...instances.values()].filter(({ id }) => isWhole || (names?.has(id) === true && !missingSince.has(id)))
       const removed = [...names ?? []].filter((name) => !instances.has(name))
-      return { isWhole, instances: changed.map(toNews), removed, position: changes.position() }
+      return { isWhole, instances: changed.map(toPeerEntry), removed, position: changes.position() }
     },
     position: changes.position,
     isSourceReachable: follower.isReachable,
--- a/src/services/instanceRegistry/test.ts
+++ b/src/services/instanceRegistry/test.ts
@@ -56,22 +56,22 @@
   // A peer with a stale list added a server again that had been removed, after its drain time.
   test('of an older revision does not add a removed server again', async () => {
     const { registry } = await startRegistry()
-    registry.learn(createNews({ removed: ['engine-2'] }), 10, 0)
-    registry.learn(createNews({ instances: [createServer('engine-2')] }), 9, 0)
+    registry.applyPeerUpdate(createNews({ removed: ['engine-2'] }), 10, 0)
+    registry.applyPeerUpdate(createNews({ instances: [createServer('engine-2')] }), 9, 0)
     expect(listIds(registry)).toEqual(['engine-1'])
   })
 
   test('of a newer revision adds it again', async () => {
     const { registry } = await startRegistry()
-    registry.learn(createNews({ removed: ['engine-2'] }), 10, 0)
-    registry.learn(createNews({ instances: [createServer('engine-2')] }), 11, 0)
+    registry.applyPeerUpdate(createNews({ removed: ['engine-2'] }), 10, 0)
+    registry.applyPeerUpdate(createNews({ instances: [createServer('engine-2')] }), 11, 0)
     expect(listIds(registry)).toEqual(['engine-1', 'engine-2'])
   })
 
   test('with a newer incarnation adds it again, however old the revision', async () => {
     const { registry } = await startRegistry()
-    registry.learn(createNews({ removed: ['engine-2'] }), 10, 0)
-    registry.learn(createNews({ instances: [createServer('engine-2', { incarnation: 2 })] }), 9, 0)
+    registry.applyPeerUpdate(createNews({ removed: ['engine-2'] }), 10, 0)
+    registry.applyPeerUpdate(createNews({ instances: [createServer('engine-2', { incarnation: 2 })] }), 9, 0)
     expect(listIds(registry)).toEqual(['engine-1', 'engine-2'])
   })
 
@@ -81,12 +81,12 @@
     const position = registry.position()
     remote.setAway(true)
     await clock.advanceAndSettle(500)
-    registry.learn(createNews({ instances: [createServer('engine-2', { slots: 9 })] }), 2, 0)
+    registry.applyPeerUpdate(createNews({ instances: [createServer('engine-2', { slots: 9 })] }), 2, 0)
     remote.put([createServer('engine-1')])
     remote.setAway(false)
     await clock.advanceAndSettle(500)
     expect(listIds(registry)).toEqual(['engine-1', 'engine-2'])
-    expect(registry.newsSince(position, 0).instances.map(({ id }) => id)).toEqual([])
+    expect(registry.listChangesSince(position, 0).instances.map(({ id }) => id)).toEqual([])
     await clock.advanceAndSettle(2_500)
     expect(listIds(registry)).toEqual(['engine-1'])
   })
@@ -96,7 +96,7 @@
   // Half of the servers that leave only remove their entry and still serve for a while.
   test('can be copied from for its drain time', async () => {
     const { clock, registry } = await startRegistry()
-    registry.learn(createNews({ removed: ['engine-2'] }), 10, 0)
+    registry.applyPeerUpdate(createNews({ removed: ['engine-2'] }), 10, 0)
     expect(registry.api.recentlyRemoved().map(({ id }) => id)).toEqual(['engine-2'])
     await clock.advanceAndSettle(2_100)
     expect(registry.api.recentlyRemoved()).toEqual([])
--- a/src/services/knowledgeExchange/index.ts
+++ b/src/services/knowledgeExchange/index.ts
@@ -97,10 +97,10 @@
     )
     if (!result.ok || result.value.kind !== 'knowledge') return
     const { version, ageMs, configuration: update, revision, instances } = result.value
-    if (result.value.zoneDrains !== undefined) zoneDrains?.learn(result.value.zoneDrains, ageMs)
+    if (result.value.zoneDrains !== undefined) zoneDrains?.applyPeerUpdate(result.value.zoneDrains, ageMs)
     configuration.learn(sentAt, ageMs, version, update)
     if (isReader() && registry.isSourceReachable()) return
-    registry.learn(instances, revision, ageMs)
+    registry.applyPeerUpdate(instances, revision, ageMs)
     positions.set(peer.nodeId, instances.position)
   }
 
@@ -126,7 +126,7 @@
 
   /** Every message carries all drains: they are few, and a node that misses one would send requests to a drained zone. */
   const collectDrains = (): { readonly zoneDrains?: ZoneDrainSnapshot } => {
-    const snapshot = zoneDrains?.news()
+    const snapshot = zoneDrains?.readPeerUpdate()
     return snapshot === undefined ? {} : { zoneDrains: snapshot }
   }
 
@@ -148,7 +148,7 @@
   }
 
   const handleAnnouncement = ({ source, version, position, zoneDrains: drainSnapshot }: PeerMessageOf<'knowledgeNews'>): void => {
-    if (drainSnapshot !== undefined) zoneDrains?.learn(drainSnapshot)
+    if (drainSnapshot !== undefined) zoneDrains?.applyPeerUpdate(drainSnapshot)
     const sender = membership.members().find(({ nodeId }) => nodeId === source)
     if (sender === undefined || isReader()) return
     const known = positions.get(source)
@@ -182,7 +182,7 @@
           version: configuration.api.version(),
           ageMs: configuration.api.confirmedAgeMs(),
           revision: registry.api.revision(),
-          instances: registry.newsSince(since, revision),
+          instances: registry.listChangesSince(since, revision),
           ...collectDrains(),
           ...(update === undefined ? {} : { configuration: update })
         }
--- a/src/services/warmUp/index.ts
+++ b/src/services/warmUpLimiter/index.ts
@@ -10,16 +10,16 @@
 import type { RunningService } from '../../kernel/index.js'
 import type { BackendInstance, Clock, GatewayConfigurationHolder, GatewayService, InstanceRegistry, Membership, ZoneDrains } from '../../types/index.js'
 
-export type WarmUp = {
+export type WarmUpLimiter = {
   /** Remaining warm-up of the server in milliseconds; 0 when it can take its full load. */
-  readonly leftMs: (instance: BackendInstance) => number
+  readonly remainingMs: (instance: BackendInstance) => number
   /** Whether the server is warming up and this node's share of its rate is used up. */
-  readonly isAtRate: (instance: BackendInstance) => boolean
+  readonly isLimitReached: (instance: BackendInstance) => boolean
   /** Counts a request that is sent to the server now. */
-  readonly noteSend: (instance: BackendInstance) => void
+  readonly recordSend: (instance: BackendInstance) => void
 }
 
-export type WarmUpDependencies = {
+export type WarmUpLimiterDependencies = {
   readonly clock: Clock
   readonly registry: Pick<InstanceRegistry, 'warmUpLeftMs' | 'onChange' | 'all'>
   readonly configuration: Pick<GatewayConfigurationHolder, 'current'>
@@ -27,7 +27,7 @@
   readonly zoneDrains: Pick<ZoneDrains, 'endedAgoMs'>
 }
 
-export type WarmUpOptions = {
+export type WarmUpLimiterOptions = {
   /** Multiple of a warming server's rate that it may get in one second. */
   readonly excess: number
   /** Requests that it may get in one second beyond that. */
@@ -53,7 +53,7 @@
  * @example
  * createWarmUp(dependencies, options).api.isAtRate(instance) // => false
  */
-export const createWarmUp = (dependencies: WarmUpDependencies, options: WarmUpOptions): RunningService<WarmUp> => {
+export const createWarmUpLimiter = (dependencies: WarmUpLimiterDependencies, options: WarmUpLimiterOptions): RunningService<WarmUpLimiter> => {
   const { clock, registry, configuration, membership, zoneDrains } = dependencies
   const startedAt = clock.now()
   const sendsByKey = new Map<string, number[]>()
@@ -70,7 +70,7 @@
 
   const findWarmUp = ({ service }: BackendInstance): GatewayService['warmUp'] => configuration.current()?.services.get(service)?.warmUp
 
-  const leftMs = (instance: BackendInstance): number => {
+  const remainingMs = (instance: BackendInstance): number => {
     const warmUp = findWarmUp(instance)
     if (warmUp === undefined) return 0
     const afterDrainMs = warmUp.durationMs + ENTRY_DELAY_MS - zoneDrains.endedAgoMs(instance.availabilityZone)
@@ -98,17 +98,17 @@
 
   return {
     api: {
-      leftMs,
-      isAtRate: (instance) => {
+      remainingMs,
+      isLimitReached: (instance) => {
         const warmUp = findWarmUp(instance)
-        if (warmUp === undefined || leftMs(instance) <= 0) return false
+        if (warmUp === undefined || remainingMs(instance) <= 0) return false
         const { nodes, requestsEach } = shareWarmUp({ ...options, requestsPerSecond: warmUp.requestsPerSecond })
         const key = formatInstanceKey(instance)
         if (nodes === 0 || !isSettled() || !isResponsible(key, nodes)) return true
         return listSends(key).length >= requestsEach
       },
-      noteSend: (instance) => {
-        if (leftMs(instance) > 0) listSends(formatInstanceKey(instance)).push(clock.now())
+      recordSend: (instance) => {
+        if (remainingMs(instance) > 0) listSends(formatInstanceKey(instance)).push(clock.now())
       }
     }
   }
--- a/src/services/warmUp/test.ts
+++ b/src/services/warmUpLimiter/test.ts
@@ -1,8 +1,8 @@
 /** Checks the requests of all nodes to one warming server, in simulated fleets whose nodes see different members. */
 import { describe, expect, test } from 'vitest'
 import { createSeededRandom } from '../../adapters/seededRandom/index.js'
-import { createWarmUp } from './index.js'
-import type { WarmUp, WarmUpDependencies } from './index.js'
+import { createWarmUpLimiter } from './index.js'
+import type { WarmUpLimiter, WarmUpLimiterDependencies } from './index.js'
 import { createManualClock, type ManualClock } from '../../emulator/createManualClock/index.js'
 import type { BackendInstance, GatewayConfiguration, Member } from '../../types/index.js'
 
@@ -29,9 +29,9 @@
   accountsByKey: new Map()
 }
 
-type NodeOptions = Partial<Pick<WarmUpDependencies, 'registry' | 'zoneDrains'>> & { readonly clock: ManualClock, readonly self: Member, readonly members: readonly Member[] }
+type NodeOptions = Partial<Pick<WarmUpLimiterDependencies, 'registry' | 'zoneDrains'>> & { readonly clock: ManualClock, readonly self: Member, readonly members: readonly Member[] }
 
-const createNode = ({ clock, self, members, registry, zoneDrains }: NodeOptions): WarmUp => createWarmUp({
+const createNode = ({ clock, self, members, registry, zoneDrains }: NodeOptions): WarmUpLimiter => createWarmUpLimiter({
   clock,
   registry: registry ?? { warmUpLeftMs: () => WARM_UP_MS, onChange: () => {}, all: () => [INSTANCE] },
   configuration: { current: () => CONFIGURATION },
@@ -62,8 +62,8 @@
     clock.advance(STEP_MS)
     for (const node of nodes) {
       if (random() < 0.002) node.frozenUntil = clock.now() + 3_000 * random()
-      if (clock.now() < node.frozenUntil || node.warmUp.isAtRate(INSTANCE)) continue
-      node.warmUp.noteSend(INSTANCE)
+      if (clock.now() < node.frozenUntil || node.warmUp.isLimitReached(INSTANCE)) continue
+      node.warmUp.recordSend(INSTANCE)
       sends.push(clock.now())
     }
   }
@@ -90,9 +90,9 @@
   test('that has just started sends nothing to a warming server', () => {
     const clock = createManualClock()
     const warmUp = createNode({ clock, self, members })
-    expect(warmUp.isAtRate(INSTANCE)).toBe(true)
+    expect(warmUp.isLimitReached(INSTANCE)).toBe(true)
     clock.advance(SETTLED_MS)
-    expect(warmUp.isAtRate(INSTANCE)).toBe(false)
+    expect(warmUp.isLimitReached(INSTANCE)).toBe(false)
   })
 
   // A node that is partitioned since its start ranks itself first for every server.
@@ -100,37 +100,37 @@
     const clock = createManualClock()
     const warmUp = createNode({ clock, self, members: [self] })
     clock.advance(SETTLED_MS)
-    expect(warmUp.isAtRate(INSTANCE)).toBe(true)
+    expect(warmUp.isLimitReached(INSTANCE)).toBe(true)
   })
 
   test('that is considered dead still counts as a member and keeps its share', () => {
     const clock = createManualClock()
     const warmUp = createNode({ clock, self, members: [self, { ...other, state: 'dead' }] })
     clock.advance(SETTLED_MS)
-    for (let send = 0; send < 2; send++) warmUp.noteSend(INSTANCE)
-    expect(warmUp.isAtRate(INSTANCE)).toBe(true)
+    for (let send = 0; send < 2; send++) warmUp.recordSend(INSTANCE)
+    expect(warmUp.isLimitReached(INSTANCE)).toBe(true)
   })
 
   test('has its share again a second later', () => {
     const clock = createManualClock()
     const warmUp = createNode({ clock, self, members })
     clock.advance(SETTLED_MS)
-    for (let send = 0; send < 2; send++) warmUp.noteSend(INSTANCE)
+    for (let send = 0; send < 2; send++) warmUp.recordSend(INSTANCE)
     clock.advance(1_200)
-    expect(warmUp.isAtRate(INSTANCE)).toBe(false)
+    expect(warmUp.isLimitReached(INSTANCE)).toBe(false)
   })
 
   // The servers of a zone whose drain ends may be cold, and their entries show it a heartbeat later.
   test('treats the servers of a zone as warming after its drain has ended', () => {
     const clock = createManualClock()
     const warmUp = createNode({ clock, self, members, registry: { warmUpLeftMs: () => 0, onChange: () => {}, all: () => [INSTANCE] }, zoneDrains: { endedAgoMs: () => clock.now() } })
-    expect(warmUp.leftMs(INSTANCE)).toBeGreaterThanOrEqual(WARM_UP_MS)
+    expect(warmUp.remainingMs(INSTANCE)).toBeGreaterThanOrEqual(WARM_UP_MS)
     clock.advance(2 * WARM_UP_MS)
-    expect(warmUp.leftMs(INSTANCE)).toBe(0)
+    expect(warmUp.remainingMs(INSTANCE)).toBe(0)
   })
 
   test('treats no server as warming whose service has no warm-up', () => {
     const warmUp = createNode({ clock: createManualClock(), self, members })
-    expect(warmUp.isAtRate({ ...INSTANCE, service: 'plain' })).toBe(false)
+    expect(warmUp.isLimitReached({ ...INSTANCE, service: 'plain' })).toBe(false)
   })
 })
--- a/src/services/zoneDrains/index.ts
+++ b/src/services/zoneDrains/index.ts
@@ -24,9 +24,9 @@
 
 export type RunningZoneDrains = RunningService<ZoneDrains> & {
   /** Applies the drains that a peer sent; the peer last reached the source `ageMs` milliseconds ago, `undefined` when that is unknown. */
-  readonly learn: (news: ZoneDrainSnapshot, ageMs?: number) => void
+  readonly applyPeerUpdate: (update: ZoneDrainSnapshot, ageMs?: number) => void
   /** Returns the drains to send to peers; `undefined` before the first reading. */
-  readonly news: () => ZoneDrainSnapshot | undefined
+  readonly readPeerUpdate: () => ZoneDrainSnapshot | undefined
   /** Called when the source cannot be read. */
   readonly onNeed: (listener: () => void) => void
 }
@@ -66,12 +66,12 @@
 
   const publish = (): void => { for (const listener of listeners) listener() }
 
-  const replaceAll = (news: ZoneDrainSnapshot, from: string): void => {
+  const replaceAll = (update: ZoneDrainSnapshot, from: string): void => {
     // A peer may have sent a newer state while the reading was under way.
-    if (isKnown && news.revision < revision) return
-    revision = news.revision
+    if (isKnown && update.revision < revision) return
+    revision = update.revision
     isKnown = true
-    const listed = new Set(news.zones)
+    const listed = new Set(update.zones)
     for (const zone of [...drained]) if (!listed.has(zone)) end(zone, from)
     for (const zone of listed) begin(zone, from)
     publish()
@@ -116,11 +116,11 @@
       isKnown: () => isKnown,
       onChange: (listener) => { listeners.push(listener) }
     },
-    learn: (news, ageMs) => {
+    applyPeerUpdate: (update, ageMs) => {
       if (ageMs !== undefined) follower.recordRelay(ageMs)
-      if (!isKnown || news.revision > revision) replaceAll(news, 'peer')
+      if (!isKnown || update.revision > revision) replaceAll(update, 'peer')
     },
-    news: () => isKnown ? { revision, zones: [...drained] } : undefined,
+    readPeerUpdate: () => isKnown ? { revision, zones: [...drained] } : undefined,
     onNeed: follower.onPeersNeeded,
     start: follower.start,
     stop: follower.stop
--- a/src/services/zoneDrains/test.ts
+++ b/src/services/zoneDrains/test.ts
@@ -70,14 +70,14 @@
     const { clock, drains, setAway } = await start()
     setAway(true)
     await clock.advanceAndSettle(500)
-    drains.learn({ revision: 12, zones: ['zone-b'] }, 300)
+    drains.applyPeerUpdate({ revision: 12, zones: ['zone-b'] }, 300)
     expect(drains.api.isDrained('zone-b')).toBe(true)
   })
 
   // A partitioned peer still sends the drains of an older revision.
   test('ignores an older revision from a peer', async () => {
     const { drains } = await start({ revision: 10, zones: ['zone-a'] })
-    drains.learn({ revision: 9, zones: [] }, 0)
+    drains.applyPeerUpdate({ revision: 9, zones: [] }, 0)
     expect(drains.api.isDrained('zone-a')).toBe(true)
   })
 
