--- a/src/services/forwarding/_lib/createRequestHandler.ts
+++ b/src/services/forwarding/_lib/createRequestHandler.ts
@@ -203,7 +203,7 @@
     retryOr(() => giveUp('instancesRefused', 502))
   }
 
-  /** The answer of the backend server is complete; `tell` ends the caller's answer. */
+  /** The answer of the backend server is complete; `endAnswer` ends the caller's answer. */
   const completeWith = (current: SendAttempt, endAnswer: () => void, fields: LogFields = {}): void => {
     endAttempt(current)
     activeAttempt = undefined
--- a/src/services/forwarding/_lib/createShutdownGate.ts
+++ b/src/services/forwarding/_lib/createShutdownGate.ts
@@ -14,7 +14,7 @@
 export type ShutdownGate = {
   /** Begins the shutdown: from now on only requests pass that are expected to end before `endsAt`, in monotonic milliseconds. */
   readonly begin: (endsAt: number) => void
-  /** Whether a request may be sent that takes at most `longestMs` milliseconds; always true before the shutdown begins. */
+  /** Whether a request may be sent that takes at most `maximumMs` milliseconds; always true before the shutdown begins. */
   readonly passes: (route: GatewayRoute, request: GatewayRequest, maximumMs: number) => boolean
 }
 
--- a/src/services/forwarding/_lib/describeSend.ts
+++ b/src/services/forwarding/_lib/describeSend.ts
@@ -1,4 +1,4 @@
-/** Builds the log fields of a send: the backend server, and the state and load estimates by which the node chose it. */
+/** Builds the log fields of a send: the backend server, and the state and load estimates by which the node selected it. */
 import type { BackendInstance, GatewayRequest, LogFields } from '../../../types/index.js'
 import type { SelectedInstance, LoadEstimate } from './selectInstance.js'
 import type { RequestHandlerContext } from './requestHandler.js'
--- a/src/services/forwarding/_lib/selectInstance.test.ts
+++ b/src/services/forwarding/_lib/selectInstance.test.ts
@@ -24,7 +24,7 @@
 
 type Server = { readonly zone: string, readonly load: number, readonly isLeaving?: boolean, readonly isHeld?: boolean, readonly isWarming?: boolean }
 
-/** Chooses a server for a request whose shared prefix is cached by the server `keeper`; zone `drained` is drained. */
+/** Selects a server for a request whose shared prefix is cached by the server `keeper`; zone `drained` is drained. */
 const choose = (servers: Readonly<Record<string, Server>>, tried: readonly string[] = []) => {
   const instances = Object.entries(servers).map(([id, { zone, isLeaving }]) => createInstance(id, zone, isLeaving))
   const dependencies: SelectionDependencies = {
@@ -54,7 +54,7 @@
 
 const OPEN: Readonly<Record<string, Server>> = { keeper: { zone: 'a', load: 14 }, b: { zone: 'a', load: 6 }, c: { zone: 'b', load: 6 }, d: { zone: 'b', load: 6 } }
 
-describe('chooseInstance', () => {
+describe('selectInstance', () => {
   test('selects the server that caches the prompt while it is under the load bound', () =>
     expect(choose(OPEN)?.instance.id).toBe('keeper'))
 
--- a/src/services/forwarding/_lib/selectInstance.ts
+++ b/src/services/forwarding/_lib/selectInstance.ts
@@ -29,7 +29,7 @@
 const PLAIN_ANSWER_BYTES = 1_200
 const BYTES_PER_TOKEN = 30
 
-/** Fraction of the configured load factor that placement uses, as a margin: load counts of other nodes are up to a quarter of a second old. */
+/** Fraction of the configured load factor that placement uses, as a margin: load counts of other nodes are a quarter of a second old. */
 const LOAD_FACTOR_SHARE = 0.96
 
 const listUntried = ({ registry }: SelectionDependencies, { service, tried }: SelectionInput): readonly BackendInstance[] =>
@@ -52,9 +52,9 @@
   return usable.length > 0 ? usable : eligible
 }
 
-/** Load estimate at the time of the choice, in requests in flight. */
+/** Load estimate at the time of the selection, in requests in flight. */
 export type LoadEstimate = {
-  /** Load of the chosen server, without this request. */
+  /** Load of the selected server, without this request. */
   readonly load: number
   /** Mean load over all servers of the service. */
   readonly meanLoad: number
--- a/src/services/forwarding/index.ts
+++ b/src/services/forwarding/index.ts
@@ -1,7 +1,7 @@
 /**
  * Forwards each request of a caller until it has a final answer. The service selects the
  * route and the client account, and runs one timer that checks the deadlines and idle
- * times of all open requests; `createRun` handles a single request.
+ * times of all open requests; `createRequestHandler` handles a single request.
  */
 import { createRequestHandler } from './_lib/createRequestHandler.js'
 import type { RequestHandler, RequestHandlerContext } from './_lib/requestHandler.js'
--- a/src/services/instanceHealth/index.ts
+++ b/src/services/instanceHealth/index.ts
@@ -58,7 +58,7 @@
  * @returns The service for the kernel, without any observations yet.
  *
  * @example
- * createInstanceHealth({ clock, logger, client }).api.isHeld(instance) // => false
+ * createInstanceHealth({ clock, logger, client }).api.isSuspended(instance) // => false
  */
 export const createInstanceHealth = (dependencies: { readonly clock: Clock, readonly logger: Logger, readonly client: Pick<InstanceClient, 'probe'> }): RunningService<InstanceHealth> => {
   const { clock, logger, client } = dependencies
--- a/src/services/instanceRegistry/_lib/createWarmUpDeadlines.test.ts
+++ b/src/services/instanceRegistry/_lib/createWarmUpDeadlines.test.ts
@@ -11,7 +11,7 @@
   return { clock, warmUps: createWarmUpDeadlines(clock) }
 }
 
-describe('createWarmUps', () => {
+describe('createWarmUpDeadlines', () => {
   test('counts down from when the entry was received', () => {
     const { clock, warmUps } = start()
     warmUps.record(createServer(3_000), 'change')
--- a/src/services/warmUpLimiter/index.ts
+++ b/src/services/warmUpLimiter/index.ts
@@ -51,7 +51,7 @@
  * @returns The service for the kernel.
  *
  * @example
- * createWarmUp(dependencies, options).api.isAtRate(instance) // => false
+ * createWarmUpLimiter(dependencies, options).api.isLimitReached(instance) // => false
  */
 export const createWarmUpLimiter = (dependencies: WarmUpLimiterDependencies, options: WarmUpLimiterOptions): RunningService<WarmUpLimiter> => {
   const { clock, registry, configuration, membership, zoneDrains } = dependencies
