--- a/src/services/forwarding/index.ts
+++ b/src/services/forwarding/index.ts
@@ -53,7 +53,7 @@
 }
 
 /** A request that arrived before the node had its first configuration, server list and zone drains. */
-type DeferredRequest = { readonly request: GatewayRequest, readonly admitNow: () => void }
+type PendingRequest = { readonly request: GatewayRequest, readonly admitNow: () => void }
 
 export type ForwardingOptions = {
   readonly availabilityZone: string
@@ -91,7 +91,7 @@
 export const createForwarding = (dependencies: ForwardingDependencies, options: ForwardingOptions): RunningService<Forwarding> => {
   const { clock, configuration, registry, zoneDrains } = dependencies
   const startedAt = clock.now()
-  const deferredRequests = new Map<RequestHandler, DeferredRequest>()
+  const pendingRequests = new Map<RequestHandler, PendingRequest>()
   const handlers = new Set<RequestHandler>()
   const retryWindows = createRetryWindows(() => options.readBounds().retryLimits, () => dependencies.membership.members().length, clock)
   const firstByteTimes = createFirstByteTimes()
@@ -147,7 +147,7 @@
   }
 
   /** Input of the order in which deferred requests are sent. A request without a route gets a target of 0: it is refused whenever its turn comes. */
-  const toOrderInput = ({ request, admitNow }: DeferredRequest): HeldRequest & Pick<DeferredRequest, 'admitNow'> => {
+  const toOrderInput = ({ request, admitNow }: PendingRequest): HeldRequest & Pick<PendingRequest, 'admitNow'> => {
     const route = selectGatewayRoute(readIndex(), request.host, request.target)
     const ageMs = clock.now() - request.receivedAt
     return {
@@ -160,7 +160,7 @@
 
   const admitDeferred = (): void => {
     if (!hasInitialState()) return
-    for (const { admitNow } of orderHeld([...deferredRequests.values()].map(toOrderInput))) admitNow()
+    for (const { admitNow } of orderHeld([...pendingRequests.values()].map(toOrderInput))) admitNow()
   }
 
   configuration.onChange(admitDeferred)
@@ -169,12 +169,12 @@
 
   const deferRequest = (handler: RequestHandler, request: GatewayRequest): void => {
     const admitNow = (): void => {
-      if (!deferredRequests.delete(handler)) return
+      if (!pendingRequests.delete(handler)) return
       limit.cancel()
       admit(handler, request)
     }
     const limit = clock.setTimer(INITIAL_STATE_WAIT_MS, admitNow)
-    deferredRequests.set(handler, { request, admitNow })
+    pendingRequests.set(handler, { request, admitNow })
   }
 
   const isStarting = (): boolean => clock.now() - startedAt < STARTUP_MS
