--- a/src/bench/warmUp/index.ts
+++ b/src/bench/warmUp/index.ts
@@ -5,7 +5,7 @@
  * server at any moment.
  */
 import { createSeededRandom } from '../../adapters/seededRandom/index.js'
-import { shareWarmUp } from '../../decisions/shareWarmUp/index.js'
+import { computeWarmUpShares } from '../../decisions/computeWarmUpShares/index.js'
 import { rankMembers } from '../../decisions/rankMembers/index.js'
 import type { Member } from '../../types/index.js'
 import type { Bench, Cell } from '../types.js'
@@ -31,7 +31,7 @@
 type Way = (self: Member, known: readonly Member[]) => Sender
 
 const shareByRank: Way = (self, known) => {
-  const { nodes, requestsEach } = shareWarmUp(BOUND)
+  const { nodes, requestsPerNode: requestsEach } = computeWarmUpShares(BOUND)
   const isAmong = rankMembers('server', known, nodes).includes(self)
   let sends: number[] = []
   return (now) => {
--- a/src/decisions/observeLeaving/index.ts
+++ b/src/decisions/applyLeavingObservation/index.ts
@@ -3,7 +3,7 @@
  */
 import type { LeavingMark, LeavingSource } from '../../types/index.js'
 
-export type LeavingSight = {
+export type LeavingStatus = {
   readonly mark?: LeavingMark
   /** Since when the source has reported to this node, without interruption, that the server stays; monotonic milliseconds. */
   readonly contradictedSince?: number
@@ -27,23 +27,23 @@
  * so a node that still reads an old list must not undo a mark that another node
  * set from a newer one.
  *
- * @param sight - The mark, and since when the source contradicts it.
+ * @param status - The mark, and since when the source contradicts it.
  * @param observation - What the source reports now.
  * @param clearAfterMs - How long the source must contradict a mark before it is cleared, in milliseconds.
  * @returns The updated status; a changed mark has a higher epoch.
  *
  * @example
- * observeLeaving({}, { ...observation, leaving: true }, 5000).mark?.leaving // => true
+ * applyLeavingObservation({}, { ...observation, leaving: true }, 5000).mark?.leaving // => true
  */
-export const observeLeaving = (sight: LeavingSight, observation: LeavingObservation, clearAfterMs: number): LeavingSight => {
-  const isMarked = sight.mark?.leaving === true
-  if (observation.leaving) return isMarked ? { mark: sight.mark! } : { mark: createMark(sight, observation) }
-  if (!isMarked) return sight
-  const contradictedSince = sight.contradictedSince ?? observation.observedAt
-  if (observation.observedAt - contradictedSince < clearAfterMs) return { mark: sight.mark!, contradictedSince }
-  return { mark: createMark(sight, observation) }
+export const applyLeavingObservation = (status: LeavingStatus, observation: LeavingObservation, clearAfterMs: number): LeavingStatus => {
+  const isMarked = status.mark?.leaving === true
+  if (observation.leaving) return isMarked ? { mark: status.mark! } : { mark: createMark(status, observation) }
+  if (!isMarked) return status
+  const contradictedSince = status.contradictedSince ?? observation.observedAt
+  if (observation.observedAt - contradictedSince < clearAfterMs) return { mark: status.mark!, contradictedSince }
+  return { mark: createMark(status, observation) }
 }
 
 /** Wall-clock time makes the epoch grow even when the node that set the previous mark is gone. */
-const createMark = ({ mark }: LeavingSight, { backendServer, source, leaving, wallTime }: LeavingObservation): LeavingMark =>
+const createMark = ({ mark }: LeavingStatus, { backendServer, source, leaving, wallTime }: LeavingObservation): LeavingMark =>
   ({ backendServer, source, leaving, epoch: Math.max((mark?.epoch ?? 0) + 1, wallTime) })
--- a/src/decisions/shareWarmUp/index.ts
+++ b/src/decisions/computeWarmUpShares/index.ts
@@ -19,13 +19,13 @@
   /** Number of nodes that send to one warming server. */
   readonly nodes: number
   /** Requests that each of them may send in any one second. */
-  readonly requestsEach: number
+  readonly requestsPerNode: number
 }
 
 /** The two halves of a partitioned fleet rank different nodes first, and both may use their full share. */
 const DISJOINT_VIEWS = 2
 /** Several nodes may send, as a server with a single sender gets no requests while that node is down. */
-const NODES_AT_MOST = 4
+const MAXIMUM_SENDING_NODES = 4
 
 /**
  * Splits the bound between nodes.
@@ -34,12 +34,12 @@
  * @returns The number of nodes that send, and the requests per second of each; 0 nodes when the bound is below one request.
  *
  * @example
- * shareWarmUp({ requestsPerSecond: 10, excess: 1.5, slack: 5 }) // => { nodes: 4, requestsEach: 2 }
+ * computeWarmUpShares({ requestsPerSecond: 10, excess: 1.5, slack: 5 }) // => { nodes: 4, requestsPerNode: 2 }
  */
-export const shareWarmUp = ({ requestsPerSecond, excess, slack }: WarmUpBound): WarmUpShares => {
-  const most = Math.floor(requestsPerSecond * excess + slack)
-  if (most < 1) return { nodes: 0, requestsEach: 0 }
-  const inOneView = Math.max(1, Math.floor(Math.min(most / DISJOINT_VIEWS, requestsPerSecond)))
-  const nodes = Math.min(NODES_AT_MOST, inOneView)
-  return { nodes, requestsEach: Math.floor(inOneView / nodes) }
+export const computeWarmUpShares = ({ requestsPerSecond, excess, slack }: WarmUpBound): WarmUpShares => {
+  const maximumRequests = Math.floor(requestsPerSecond * excess + slack)
+  if (maximumRequests < 1) return { nodes: 0, requestsPerNode: 0 }
+  const requestsPerView = Math.max(1, Math.floor(Math.min(maximumRequests / DISJOINT_VIEWS, requestsPerSecond)))
+  const nodes = Math.min(MAXIMUM_SENDING_NODES, requestsPerView)
+  return { nodes, requestsPerNode: Math.floor(requestsPerView / nodes) }
 }
--- a/src/decisions/grantRetry/test.ts
+++ b/src/decisions/grantRetry/test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check'
 import { describe, expect, test } from 'vitest'
 import { grantRetry } from './index.js'
-import { noteSend } from '../noteSend/index.js'
+import { recordSend } from '../recordSend/index.js'
 import type { RetryWindow } from './index.js'
 
 const limits = { ratio: 0.2, extra: 50, windowMs: 10_000 }
@@ -11,13 +11,13 @@
   test('grants a retry when nothing has been sent', () => expect(grantRetry(empty, limits, 5, 0)).toBe(true))
 
   test('divides the constant equally among the nodes', () => {
-    const spent = Array.from({ length: 8 }).reduce<RetryWindow>((budget) => noteSend(budget, 'repeat', limits, 0), empty)
+    const spent = Array.from({ length: 8 }).reduce<RetryWindow>((budget) => recordSend(budget, 'repeat', limits, 0), empty)
     expect(grantRetry(spent, limits, 1, 0)).toBe(true)
     expect(grantRetry(spent, limits, 6, 0)).toBe(false)
   })
 
   test('ignores what was sent before the window', () => {
-    const spent = Array.from({ length: 50 }).reduce<RetryWindow>((budget) => noteSend(budget, 'repeat', limits, 0), empty)
+    const spent = Array.from({ length: 50 }).reduce<RetryWindow>((budget) => recordSend(budget, 'repeat', limits, 0), empty)
     expect(grantRetry(spent, limits, 1, 9_999)).toBe(false)
     expect(grantRetry(spent, limits, 1, 10_001)).toBe(true)
   })
@@ -32,11 +32,11 @@
       let now = 0
       for (const { node, gapMs, wantedRetries } of sends) {
         now += gapMs
-        let budget = noteSend(budgets.get(node) ?? empty, 'first', limits, now)
+        let budget = recordSend(budgets.get(node) ?? empty, 'first', limits, now)
         requests.push(now)
         for (let wanted = 0; wanted < wantedRetries; wanted++) {
           if (!grantRetry(budget, limits, 6, now)) break
-          budget = noteSend(budget, 'repeat', limits, now)
+          budget = recordSend(budget, 'repeat', limits, now)
           retries.push(now)
         }
         budgets.set(node, budget)
--- a/src/decisions/limitEjections/index.ts
+++ b/src/decisions/limitEjections/index.ts
@@ -33,15 +33,15 @@
 export const limitEjections = (candidates: readonly EjectionCandidate[], maximumShare: number): ReadonlySet<string> => {
   const reachable = candidates.filter((candidate) => !(candidate.isEjected && candidate.isUnreachable))
   if (reachable.length === 0) return new Set()
-  const budget = maximumShare * reachable.reduce((sum, candidate) => sum + candidate.slots, 0)
-  const out = new Set(candidates.filter((candidate) => !reachable.includes(candidate)).map((candidate) => candidate.backendServer))
-  let spent = 0
+  const maximumEjectedSlots = maximumShare * reachable.reduce((sum, candidate) => sum + candidate.slots, 0)
+  const ejected = new Set(candidates.filter((candidate) => !reachable.includes(candidate)).map((candidate) => candidate.backendServer))
+  let ejectedSlots = 0
   for (const candidate of reachable.filter(({ isEjected }) => isEjected).sort(compareBySince)) {
-    if (spent + candidate.slots > budget) continue
-    spent += candidate.slots
-    out.add(candidate.backendServer)
+    if (ejectedSlots + candidate.slots > maximumEjectedSlots) continue
+    ejectedSlots += candidate.slots
+    ejected.add(candidate.backendServer)
   }
-  return out
+  return ejected
 }
 
 const compareBySince = (one: EjectionCandidate, other: EjectionCandidate): number =>
--- a/src/decisions/mergeLeavingMark/index.ts
+++ b/src/decisions/mergeLeavingMark/index.ts
@@ -12,13 +12,13 @@
  * associative and idempotent.
  *
  * @param known - The current mark; `undefined` when there is none.
- * @param heard - The received mark, of the same server and source.
+ * @param received - The received mark, of the same server and source.
  * @returns The mark to keep; `known` itself when nothing changed.
  *
  * @example
  * mergeLeavingMark(leavingAtEpoch1, { ...leavingAtEpoch1, epoch: 2, leaving: false }).leaving // => false
  */
-export const mergeLeavingMark = (known: LeavingMark | undefined, heard: LeavingMark): LeavingMark => {
-  if (known === undefined || heard.epoch > known.epoch) return heard
-  return heard.epoch === known.epoch && heard.leaving && !known.leaving ? heard : known
+export const mergeLeavingMark = (known: LeavingMark | undefined, received: LeavingMark): LeavingMark => {
+  if (known === undefined || received.epoch > known.epoch) return received
+  return received.epoch === known.epoch && received.leaving && !known.leaving ? received : known
 }
--- a/src/decisions/mergeMember/index.ts
+++ b/src/decisions/mergeMember/index.ts
@@ -15,17 +15,17 @@
  * commutative, associative and idempotent.
  *
  * @param known - The current record; `undefined` when the member is new here.
- * @param heard - The received record of the same member.
+ * @param received - The received record of the same member.
  * @returns The record to keep; `known` itself when nothing changed.
  *
  * @example
  * mergeMember({ ...member, state: 'suspect' }, { ...member, incarnation: member.incarnation + 1 }).state // => 'live'
  */
-export const mergeMember = (known: Member | undefined, heard: Member): Member => {
-  if (known === undefined) return heard
-  if (heard.incarnation !== known.incarnation) return heard.incarnation > known.incarnation ? heard : known
-  const isWorse = PRECEDENCE[heard.state] > PRECEDENCE[known.state]
-  const winner = isWorse ? heard : known
-  const generation = Math.max(known.generation, heard.generation)
+export const mergeMember = (known: Member | undefined, received: Member): Member => {
+  if (known === undefined) return received
+  if (received.incarnation !== known.incarnation) return received.incarnation > known.incarnation ? received : known
+  const isWorse = PRECEDENCE[received.state] > PRECEDENCE[known.state]
+  const winner = isWorse ? received : known
+  const generation = Math.max(known.generation, received.generation)
   return winner.generation === generation ? winner : { ...winner, generation }
 }
--- a/src/decisions/mergeMember/test.ts
+++ b/src/decisions/mergeMember/test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import { mergeMember } from './index.js'
-import { refuteRumour } from '../refuteRumour/index.js'
+import { refuteSuspicion } from '../refuteSuspicion/index.js'
 import type { Member, MemberState } from '../../types/index.js'
 
 const SEED = 20_262
@@ -40,17 +40,17 @@
   })
 })
 
-describe('refuteRumour', () => {
+describe('refuteSuspicion', () => {
   it('wins against any gossip update about this node', () => {
-    fc.assert(fc.property(memberArbitrary, memberArbitrary, (record, rumour) => {
+    fc.assert(fc.property(memberArbitrary, memberArbitrary, (record, update) => {
       const self = { ...record, state: 'live' as const }
-      const refuted = refuteRumour(self, rumour)
-      expect(mergeMember(rumour, refuted).state).toBe('live')
+      const refuted = refuteSuspicion(self, update)
+      expect(mergeMember(update, refuted).state).toBe('live')
     }), { seed: SEED })
   })
 
   it('keeps the incarnation when the gossip update is correct', () => {
     const self = createMember()
-    expect(refuteRumour(self, createMember())).toBe(self)
+    expect(refuteSuspicion(self, createMember())).toBe(self)
   })
 })
--- a/src/decisions/normalisePath/index.ts
+++ b/src/decisions/normalizePath/index.ts
@@ -7,7 +7,7 @@
 import { success } from '../../kernel/success/index.js'
 import type { Result } from '../../types/index.js'
 
-export type NormalPath = {
+export type NormalizedPath = {
   /** Path without the query. */
   readonly path: string
   /** Query with its question mark, or empty. */
@@ -52,9 +52,9 @@
  * @returns The normalised path, or a description of what is wrong with the target.
  *
  * @example
- * normalisePath('/orders/%61?x=1') // => { ok: true, value: { path: '/orders/a', query: '?x=1' } }
+ * normalizePath('/orders/%61?x=1') // => { ok: true, value: { path: '/orders/a', query: '?x=1' } }
  */
-export const normalisePath = (target: string): Result<NormalPath, string> => {
+export const normalizePath = (target: string): Result<NormalizedPath, string> => {
   const queryAt = target.indexOf('?')
   const rawPath = queryAt < 0 ? target : target.slice(0, queryAt)
   const query = queryAt < 0 ? '' : target.slice(queryAt)
--- a/src/decisions/normalisePath/test.ts
+++ b/src/decisions/normalizePath/test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
-import { normalisePath } from './index.js'
+import { normalizePath } from './index.js'
 
-describe('normalisePath', () => {
+describe('normalizePath', () => {
   it.each([
     ['/', '/', ''],
     ['/orders?x=/../y', '/orders', '?x=/../y'],
@@ -10,7 +10,7 @@
     ['/..a/b..', '/..a/b..', ''],
     ['/a%252e%252e/b', '/a%252e%252e/b', '']
   ])('normalises %s', (target, path, query) => {
-    expect(normalisePath(target)).toEqual({ ok: true, value: { path, query } })
+    expect(normalizePath(target)).toEqual({ ok: true, value: { path, query } })
   })
 
   // If the router and the backend server interpreted a path differently, a caller could run a request
@@ -21,6 +21,6 @@
     ['/orders%3bx'], ['/orders%00'], ['/orders%'], ['/orders%zz'], ['/orders#x'], ['/orders?x#y'], ['/orders x'], ['/ordé'], ['/\u0000'],
     [`/${'a'.repeat(9_000)}`]
   ])('refuses %s', (target) => {
-    expect(normalisePath(target).ok).toBe(false)
+    expect(normalizePath(target).ok).toBe(false)
   })
 })
--- a/src/decisions/packLoadCounts/index.ts
+++ b/src/decisions/packLoadCounts/index.ts
@@ -38,6 +38,6 @@
  */
 export const unpackLoadCounts = ({ servers, inFlight }: PackedLoadCounts): ReadonlyMap<number, number> => {
   const counts = new Map<number, number>()
-  servers.forEach((server, place) => counts.set(server, inFlight[place] ?? 0))
+  servers.forEach((server, index) => counts.set(server, inFlight[index] ?? 0))
   return counts
 }
--- a/src/decisions/parseSheet/_lib/readCells.ts
+++ b/src/decisions/parseSheet/_lib/readCells.ts
@@ -9,7 +9,7 @@
 export type CellReader = {
   readonly readName: (column: SheetColumn) => string
   /** Which one of two columns a row fills. The first when neither is filled; both filled is a problem. */
-  readonly readFilled: <First extends SheetColumn, Second extends SheetColumn>(first: First, second: Second) => First | Second
+  readonly readFilledColumn: <First extends SheetColumn, Second extends SheetColumn>(first: First, second: Second) => First | Second
   readonly readModel: () => string | undefined
   readonly readPath: () => string | undefined
   readonly readUrl: () => string
@@ -50,7 +50,7 @@
 
   return {
     readName: (column) => readMatching(column, NAME, '1 to 64 letters, digits, dots, underscores or hyphens, and start with a letter or digit'),
-    readFilled: (first, second) => {
+    readFilledColumn: (first, second) => {
       if (cell(second) === '') return first
       if (cell(first) !== '') report(second, `${second} must be blank where ${first} is given`)
       return second
--- a/src/decisions/parseSheet/_lib/readRecords.ts
+++ b/src/decisions/parseSheet/_lib/readRecords.ts
@@ -64,7 +64,7 @@
 }
 
 const readStopTarget = (cells: CellReader): PlannedStopTarget => {
-  const column = cells.readFilled('backendServer', 'availabilityZone')
+  const column = cells.readFilledColumn('backendServer', 'availabilityZone')
   return column === 'availabilityZone' ? { availabilityZone: cells.readName(column) } : { backendServer: cells.readName('backendServer') }
 }
 
--- a/src/decisions/parseSheet/_lib/readRows.ts
+++ b/src/decisions/parseSheet/_lib/readRows.ts
@@ -50,9 +50,9 @@
   const first = header.cells[0] ?? ''
   if (header.cells.length === 1 && /[;\t]/.test(first)) return [problem(1, 'cells must be separated by commas, not by semicolons or tabs')]
   const unknown = header.cells.flatMap((name, index) => isSheetColumn(name) ? [] : [problem(index + 1, `unknown column "${name}"`)])
-  const doubled = header.cells.flatMap((name, index) => header.cells.indexOf(name) < index ? [problem(index + 1, `column "${name}" stands twice`)] : [])
+  const duplicates = header.cells.flatMap((name, index) => header.cells.indexOf(name) < index ? [problem(index + 1, `column "${name}" stands twice`)] : [])
   const missing = sheetColumns.filter((name) => !header.cells.includes(name)).map((name) => problem(header.cells.length + 1, `column "${name}" is missing`))
-  return [...unknown, ...doubled, ...missing]
+  return [...unknown, ...duplicates, ...missing]
 }
 
 const checkCellCount = (line: CsvLine, expected: number): readonly SheetProblem[] => {
--- a/src/decisions/parseSheet/test.ts
+++ b/src/decisions/parseSheet/test.ts
@@ -13,7 +13,7 @@
 const routeRow = (cells: Readonly<Record<string, string>> = {}): string => createRow({ record: 'route', name: 'chat', service: 'chat', model: 'counter-7b', ...cells })
 const stopRow = (cells: Readonly<Record<string, string>> = {}): string => createRow({ record: 'plannedStop', name: 'stop-1', backendServer: 'model-1', startsAt: '2026-03-02T22:00:00+01:00', ...cells })
 
-const soundRows = (): readonly string[] => [accountRow(), serviceRow(), serverRow(), routeRow(), stopRow()]
+const validRows = (): readonly string[] => [accountRow(), serviceRow(), serverRow(), routeRow(), stopRow()]
 const parseRows = (rows: readonly string[], lineEnd = '\n'): ReturnType<typeof parseSheet> => parseSheet([HEADER, ...rows, ''].join(lineEnd))
 
 const listProblems = (text: string): readonly string[] => {
@@ -23,7 +23,7 @@
 
 describe('parseSheet', () => {
   it('parses a valid sheet and fills in defaults', () => {
-    const parsed = parseRows(soundRows())
+    const parsed = parseRows(validRows())
     expect(parsed).toEqual({
       ok: true,
       value: {
@@ -37,18 +37,18 @@
   })
 
   it('ignores a byte order mark, CRLF and blank rows', () => {
-    const text = `\uFEFF${[HEADER, ...soundRows().flatMap((row) => [row, '', ','.repeat(19)]), ''].join('\r\n')}`
-    expect(parseSheet(text)).toEqual(parseRows(soundRows()))
+    const text = `\uFEFF${[HEADER, ...validRows().flatMap((row) => [row, '', ','.repeat(19)]), ''].join('\r\n')}`
+    expect(parseSheet(text)).toEqual(parseRows(validRows()))
   })
 
   it('parses a planned stop of a zone, also from its canonical form', () => {
-    const parsed = parseRows([...soundRows().slice(0, -1), stopRow({ backendServer: '', availabilityZone: 'venkov-a' })])
+    const parsed = parseRows([...validRows().slice(0, -1), stopRow({ backendServer: '', availabilityZone: 'venkov-a' })])
     expect(parsed.ok && parsed.value.plannedStops).toEqual([{ name: 'stop-1', availabilityZone: 'venkov-a', startsAt: Date.parse('2026-03-02T21:00:00Z') }])
     expect(parsed.ok && parseSheet(serializeSheet(parsed.value))).toEqual(parsed)
   })
 
   it('round-trips the canonical form', () => {
-    const parsed = parseRows([...soundRows()].reverse())
+    const parsed = parseRows([...validRows()].reverse())
     expect(parsed.ok && parseSheet(serializeSheet(parsed.value))).toEqual(parsed)
   })
 
@@ -95,7 +95,7 @@
     ['an end before the start', stopRow({ name: 'b', endsAt: '2026-03-02T22:00:00+01:00' }), 20, 'endsAt must be after startsAt'],
     ['a row that is too long', `${accountRow({ name: 'b', keySha256: 'b'.repeat(64) })},x`, 21, 'the row has 21 cells, the header has 20']
   ])('places %s at its line and column', (_, row, column, message) => {
-    const problems = listProblems([HEADER, ...soundRows(), row].join('\n'))
+    const problems = listProblems([HEADER, ...validRows(), row].join('\n'))
     expect(problems.filter((problem) => problem.startsWith(`7:${column} `) && problem.includes(message))).toHaveLength(1)
   })
 
--- a/src/decisions/patchRecords/index.ts
+++ b/src/decisions/patchRecords/index.ts
@@ -1,7 +1,7 @@
 /** Applies a configuration change, as computed by `compareRecords`, to the records of an earlier configuration. */
 import type { ConfigurationRecords, RecordChange, RecordStep } from '../../types/index.js'
 
-const readStep = (base: readonly unknown[], step: RecordStep): readonly unknown[] | undefined => {
+const resolveStep = (base: readonly unknown[], step: RecordStep): readonly unknown[] | undefined => {
   if ('records' in step) return step.records
   if (step.from < 0) return undefined
   const records = base.slice(step.from, step.from + step.count)
@@ -21,10 +21,10 @@
 export const patchRecords = (base: ConfigurationRecords, change: RecordChange): ConfigurationRecords | undefined => {
   const patched: Record<string, readonly unknown[]> = {}
   for (const [section, steps] of Object.entries(change)) {
-    const parts = steps.map((step) => readStep(base[section] ?? [], step))
-    const known = parts.filter((part) => part !== undefined)
-    if (known.length < parts.length) return undefined
-    patched[section] = ([] as unknown[]).concat(...known)
+    const parts = steps.map((step) => resolveStep(base[section] ?? [], step))
+    const resolved = parts.filter((part) => part !== undefined)
+    if (resolved.length < parts.length) return undefined
+    patched[section] = ([] as unknown[]).concat(...resolved)
   }
   return patched
 }
--- a/src/decisions/planRetry/index.ts
+++ b/src/decisions/planRetry/index.ts
@@ -7,7 +7,7 @@
 
 export type FailedAttempt = Extract<AttemptState, { readonly stage: 'failed' }>
 
-export type RetrySituation = {
+export type RetryInput = {
   readonly attempt: FailedAttempt
   /** Whether an earlier attempt of the same request may have run. */
   readonly mayHaveRunBefore: boolean
@@ -21,7 +21,7 @@
   readonly resumes: number
   /** Time until the caller's deadline, in milliseconds. */
   readonly remainingMs: number
-  readonly budgetAvailable: boolean
+  readonly isBudgetAvailable: boolean
   /** In [0, 1), for jitter. */
   readonly random: number
 }
@@ -44,22 +44,22 @@
   return Math.floor(random * bound)
 }
 
-const canResume = (situation: RetrySituation, limits: RetryLimits): boolean =>
-  situation.attempt.failedAt === 'answering' && situation.resumable && situation.resumes < limits.maximumResumes
+const canResume = (input: RetryInput, limits: RetryLimits): boolean =>
+  input.attempt.failedAt === 'answering' && input.resumable && input.resumes < limits.maximumResumes
 
 /** A caller that has received bytes of one response must not get another response appended to them. */
-const canRunElsewhere = (situation: RetrySituation, limits: RetryLimits): boolean => {
-  const allowed = situation.attempt.execution === 'notRun' || situation.repeatable
-  return allowed && !situation.delivered && situation.attempts < limits.maximumAttempts && situation.budgetAvailable
+const canRetryElsewhere = (input: RetryInput, limits: RetryLimits): boolean => {
+  const allowed = input.attempt.execution === 'notRun' || input.repeatable
+  return allowed && !input.delivered && input.attempts < limits.maximumAttempts && input.isBudgetAvailable
 }
 
-const refuse = (situation: RetrySituation): RetryPlan => {
-  const mayHaveRun = situation.mayHaveRunBefore || situation.attempt.execution === 'mayHaveRun'
-  const reasonWithTime = situation.attempt.failedAt === 'answering' ? 'answerIncomplete' : 'backendFailed'
+const refuse = (input: RetryInput): RetryPlan => {
+  const mayHaveRun = input.mayHaveRunBefore || input.attempt.execution === 'mayHaveRun'
+  const reasonBeforeDeadline = input.attempt.failedAt === 'answering' ? 'answerIncomplete' : 'backendFailed'
   return {
     kind: 'refuse',
     outcome: mayHaveRun ? 'unknown' : 'not-run',
-    reason: situation.remainingMs <= 0 ? 'deadline' : reasonWithTime
+    reason: input.remainingMs <= 0 ? 'deadline' : reasonBeforeDeadline
   }
 }
 
@@ -77,7 +77,7 @@
  * the request is refused at once. A resume makes no backend server do work
  * twice, so it takes nothing from the budget.
  *
- * @param situation - The failed attempt and the state of its request.
+ * @param input - The failed attempt and the state of its request.
  * @param limits - Limits on attempts, resumes and delays.
  * @returns The plan; delays are in milliseconds.
  *
@@ -85,14 +85,14 @@
  * planRetry({ attempt: { stage: 'failed', failedAt: 'sent', execution: 'mayHaveRun' }, repeatable: false, ...rest }, limits)
  * // => { kind: 'refuse', outcome: 'unknown', reason: 'backendFailed' }
  */
-export const planRetry = (situation: RetrySituation, limits: RetryLimits): RetryPlan => {
-  if (canResume(situation, limits)) {
-    const delayMs = drawDelay(limits, situation.resumes, situation.random)
-    if (delayMs < situation.remainingMs) return { kind: 'resume', delayMs }
+export const planRetry = (input: RetryInput, limits: RetryLimits): RetryPlan => {
+  if (canResume(input, limits)) {
+    const delayMs = drawDelay(limits, input.resumes, input.random)
+    if (delayMs < input.remainingMs) return { kind: 'resume', delayMs }
   }
-  if (canRunElsewhere(situation, limits)) {
-    const delayMs = drawDelay(limits, situation.attempts, situation.random)
-    if (delayMs < situation.remainingMs) return { kind: 'retryElsewhere', delayMs }
+  if (canRetryElsewhere(input, limits)) {
+    const delayMs = drawDelay(limits, input.attempts, input.random)
+    if (delayMs < input.remainingMs) return { kind: 'retryElsewhere', delayMs }
   }
-  return refuse(situation)
+  return refuse(input)
 }
--- a/src/decisions/paceSourceReads/index.ts
+++ b/src/decisions/planSourceRead/index.ts
@@ -4,7 +4,7 @@
  * of the fleet at once (thundering herd).
  */
 
-export type SourceReadQuestion = {
+export type SourceReadInput = {
   /** Whether this node reads the source for its zone. */
   readonly isReader: boolean
   /** Milliseconds since the last confirmed read of the source, by this node or by the readers it relies on. */
@@ -15,31 +15,31 @@
   readonly readerRetryMs: number
 }
 
-export type SourceReadPace = {
+export type SourceReadPlan = {
   /** Whether the node relies on the readers and doesn't read the source itself. */
-  readonly isRelying: boolean
+  readonly isRelyingOnReaders: boolean
   /** While the node relies on readers: milliseconds until it checks again. */
-  readonly lookAfterMs: number
+  readonly recheckAfterMs: number
   /** Delay after a failed read, in milliseconds. */
   readonly retryAfterMs: number
 }
 
 /** Minimum time between two checks by a node that relies on readers: each check wakes the processor. */
-const LEAST_LOOK_MS = 100
+const MINIMUM_RECHECK_INTERVAL_MS = 100
 /** Readers notice first that a source has recovered and notify the others; retries by all nodes would add load to a struggling source. */
-const RETRY_BESIDE_READERS_MS = 2_000
+const NON_READER_RETRY_MS = 2_000
 
 /**
  * Plans the next read of the source by one node.
  *
- * @param question - The node's role and the age of its data.
+ * @param input - The node's role and the age of its data.
  * @returns Whether the node may rely on the readers, and how long it waits.
  *
  * @example
- * paceSourceReads({ isReader: false, ageMs: 400, relianceMs: 1500, readerRetryMs: 250 }).lookAfterMs // => 1100
+ * planSourceRead({ isReader: false, ageMs: 400, relianceMs: 1500, readerRetryMs: 250 }).recheckAfterMs // => 1100
  */
-export const paceSourceReads = ({ isReader, ageMs, relianceMs, readerRetryMs }: SourceReadQuestion): SourceReadPace => ({
-  isRelying: !isReader && ageMs < relianceMs,
-  lookAfterMs: Math.max(LEAST_LOOK_MS, relianceMs - ageMs),
-  retryAfterMs: isReader ? readerRetryMs : RETRY_BESIDE_READERS_MS
+export const planSourceRead = ({ isReader, ageMs, relianceMs, readerRetryMs }: SourceReadInput): SourceReadPlan => ({
+  isRelyingOnReaders: !isReader && ageMs < relianceMs,
+  recheckAfterMs: Math.max(MINIMUM_RECHECK_INTERVAL_MS, relianceMs - ageMs),
+  retryAfterMs: isReader ? readerRetryMs : NON_READER_RETRY_MS
 })
--- /dev/null
+++ b/src/decisions/planSourceRead/test.ts
@@ -0,0 +1,24 @@
+import { describe, expect, test } from 'vitest'
+import { planSourceRead } from './index.js'
+
+const INPUT = { isReader: false, ageMs: 400, relianceMs: 1_500, readerRetryMs: 250 }
+
+describe('planSourceRead', () => {
+  test('lets a node rely on its readers while their data is up to date', () => {
+    expect(planSourceRead(INPUT)).toMatchObject({ isRelyingOnReaders: true, recheckAfterMs: 1_100 })
+  })
+
+  test('lets a node read the source itself once the data is stale', () => {
+    expect(planSourceRead({ ...INPUT, ageMs: 1_500 }).isRelyingOnReaders).toBe(false)
+    expect(planSourceRead({ ...INPUT, ageMs: Infinity }).isRelyingOnReaders).toBe(false)
+  })
+
+  test('never lets a reader rely on others', () => expect(planSourceRead({ ...INPUT, isReader: true }).isRelyingOnReaders).toBe(false))
+
+  test('waits at least 100 ms between two checks', () => expect(planSourceRead({ ...INPUT, ageMs: 1_490 }).recheckAfterMs).toBe(100))
+
+  test('lets readers retry sooner than other nodes', () => {
+    expect(planSourceRead({ ...INPUT, isReader: true }).retryAfterMs).toBe(250)
+    expect(planSourceRead(INPUT).retryAfterMs).toBe(2_000)
+  })
+})
--- a/src/decisions/noteSend/index.ts
+++ b/src/decisions/recordSend/index.ts
@@ -11,11 +11,11 @@
  * @returns The budget with the send added and the sends before the window removed.
  *
  * @example
- * noteSend({ requests: [], repeats: [] }, 'repeat', { ratio: 0.2, extra: 50, windowMs: 10_000 }, 5).repeats // => [5]
+ * recordSend({ requests: [], repeats: [] }, 'repeat', { ratio: 0.2, extra: 50, windowMs: 10_000 }, 5).repeats // => [5]
  */
-export const noteSend = (budget: RetryWindow, kind: 'first' | 'repeat', limits: RetryWindowLimits, now: number): RetryWindow => {
-  const from = now - limits.windowMs
-  const requests = trimTimes(budget.requests, from)
-  const repeats = trimTimes(budget.retries, from)
+export const recordSend = (budget: RetryWindow, kind: 'first' | 'repeat', limits: RetryWindowLimits, now: number): RetryWindow => {
+  const windowStart = now - limits.windowMs
+  const requests = trimTimes(budget.requests, windowStart)
+  const repeats = trimTimes(budget.retries, windowStart)
   return kind === 'first' ? { requests: [...requests, now], retries: repeats } : { requests, retries: [...repeats, now] }
 }
--- a/src/decisions/refuteRumour/index.ts
+++ b/src/decisions/refuteSuspicion/index.ts
@@ -12,14 +12,14 @@
  * whose wall clock was set back, so that peers have a higher incarnation.
  *
  * @param self - This router's own record.
- * @param heard - A record of this router that another router sent.
+ * @param received - A record of this router that another router sent.
  * @returns The own record under a higher incarnation, or `self` when nothing has to be refuted.
  *
  * @example
- * refuteRumour(self, { ...self, state: 'dead' }).incarnation // => self.incarnation + 1
+ * refuteSuspicion(self, { ...self, state: 'dead' }).incarnation // => self.incarnation + 1
  */
-export const refuteRumour = (self: Member, heard: Member): Member => {
-  if (heard.incarnation < self.incarnation) return self
-  if (heard.incarnation === self.incarnation && heard.state === self.state) return self
-  return { ...self, incarnation: heard.incarnation + 1 }
+export const refuteSuspicion = (self: Member, received: Member): Member => {
+  if (received.incarnation < self.incarnation) return self
+  if (received.incarnation === self.incarnation && received.state === self.state) return self
+  return { ...self, incarnation: received.incarnation + 1 }
 }
--- a/src/decisions/selectHeartbeatTargets/_lib/orderAsRing.ts
+++ b/src/decisions/selectHeartbeatTargets/_lib/sortByRingHash.ts
@@ -2,10 +2,10 @@
 import { hashText } from '../../../hashing/index.js'
 import type { Member } from '../../../types/index.js'
 
-type Placed = { readonly member: Member, readonly hash: number }
+type RingEntry = { readonly member: Member, readonly hash: number }
 
-const compare = (one: Placed, other: Placed): number =>
+const compare = (one: RingEntry, other: RingEntry): number =>
   one.hash - other.hash || (one.member.nodeId < other.member.nodeId ? -1 : 1)
 
-export const orderAsRing = (members: readonly Member[]): readonly Member[] =>
+export const sortByRingHash = (members: readonly Member[]): readonly Member[] =>
   members.map((member) => ({ member, hash: hashText(member.nodeId) })).sort(compare).map(({ member }) => member)
--- a/src/decisions/selectHeartbeatTargets/index.ts
+++ b/src/decisions/selectHeartbeatTargets/index.ts
@@ -3,7 +3,7 @@
  * all peers. In a large one they are a few fixed watchers, which detect missed
  * heartbeats, and a few random peers, which spread gossip updates.
  */
-import { orderAsRing } from './_lib/orderAsRing.js'
+import { sortByRingHash } from './_lib/sortByRingHash.js'
 import type { Member } from '../../types/index.js'
 
 export type HeartbeatFanOut = {
@@ -23,7 +23,7 @@
   /** Peers whose heartbeat this router expects at each tick. */
   readonly watched: readonly Member[]
   /** Peers selected at random for this tick only. */
-  readonly picked: readonly Member[]
+  readonly randomPeers: readonly Member[]
 }
 
 /**
@@ -44,24 +44,24 @@
  * selectHeartbeatTargets(self, [peer], fanOut, random.next).watchers // => [peer]
  */
 export const selectHeartbeatTargets = (self: Member, peers: readonly Member[], fanOut: HeartbeatFanOut, nextRandom: () => number): HeartbeatTargets => {
-  if (peers.length <= fanOut.fullMeshPeers) return { watchers: peers, watched: peers, picked: [] }
-  const ring = orderAsRing([...peers, self])
-  const isNear = (one: Member, other: Member): boolean => one.availabilityZone === other.availabilityZone
-  const isFar = (one: Member, other: Member): boolean => !isNear(one, other)
-  const zoneRing = ring.filter((member) => isNear(member, self))
+  if (peers.length <= fanOut.fullMeshPeers) return { watchers: peers, watched: peers, randomPeers: [] }
+  const ring = sortByRingHash([...peers, self])
+  const isInSameZone = (one: Member, other: Member): boolean => one.availabilityZone === other.availabilityZone
+  const isInOtherZone = (one: Member, other: Member): boolean => !isInSameZone(one, other)
+  const zoneRing = ring.filter((member) => isInSameZone(member, self))
   const watchers = [
-    ...findSuccessors(zoneRing, self, fanOut.zoneWatchers, isNear),
-    ...findSuccessors(ring, self, fanOut.remoteWatchers, isFar)
+    ...findSuccessors(zoneRing, self, fanOut.zoneWatchers, isInSameZone),
+    ...findSuccessors(ring, self, fanOut.remoteWatchers, isInOtherZone)
   ]
   const watched = [
-    ...findSuccessors([...zoneRing].reverse(), self, fanOut.zoneWatchers, isNear),
-    ...findWatchedFar(ring, self, fanOut.remoteWatchers, isFar)
+    ...findSuccessors([...zoneRing].reverse(), self, fanOut.zoneWatchers, isInSameZone),
+    ...findWatchedInOtherZones(ring, self, fanOut.remoteWatchers, isInOtherZone)
   ]
-  const picked = [
-    ...pick(peers.filter((peer) => isNear(peer, self)), fanOut.randomZonePeers, nextRandom),
-    ...pick(peers.filter((peer) => isFar(peer, self)), fanOut.randomRemotePeers, nextRandom)
+  const randomPeers = [
+    ...sampleMembers(peers.filter((peer) => isInSameZone(peer, self)), fanOut.randomZonePeers, nextRandom),
+    ...sampleMembers(peers.filter((peer) => isInOtherZone(peer, self)), fanOut.randomRemotePeers, nextRandom)
   ].filter((peer) => !watchers.includes(peer))
-  return { watchers, watched, picked }
+  return { watchers, watched, randomPeers }
 }
 
 type Relation = (one: Member, other: Member) => boolean
@@ -82,7 +82,7 @@
  * backwards on the ring, these are the members with fewer than `count` members of
  * zones other than their own between them and this router.
  */
-const findWatchedFar = (ring: readonly Member[], self: Member, count: number, isFar: Relation): readonly Member[] => {
+const findWatchedInOtherZones = (ring: readonly Member[], self: Member, count: number, isInOtherZone: Relation): readonly Member[] => {
   const start = ring.indexOf(self)
   const passedByZone = new Map<string, number>()
   const found: Member[] = []
@@ -90,18 +90,18 @@
     if (passed - Math.max(0, ...passedByZone.values()) >= count) break
     const candidate = ring[(start - passed - 1 + ring.length) % ring.length]!
     const passedInZone = passedByZone.get(candidate.availabilityZone) ?? 0
-    if (isFar(candidate, self) && passed - passedInZone < count) found.push(candidate)
+    if (isInOtherZone(candidate, self) && passed - passedInZone < count) found.push(candidate)
     passedByZone.set(candidate.availabilityZone, passedInZone + 1)
   }
   return found
 }
 
-const pick = (members: readonly Member[], count: number, nextRandom: () => number): readonly Member[] => {
+const sampleMembers = (members: readonly Member[], count: number, nextRandom: () => number): readonly Member[] => {
   const rest = [...members]
-  const picked: Member[] = []
-  while (picked.length < count && rest.length > 0) {
+  const sample: Member[] = []
+  while (sample.length < count && rest.length > 0) {
     const [member] = rest.splice(Math.floor(nextRandom() * rest.length), 1)
-    picked.push(member!)
+    sample.push(member!)
   }
-  return picked
+  return sample
 }
--- a/src/decisions/selectHeartbeatTargets/test.ts
+++ b/src/decisions/selectHeartbeatTargets/test.ts
@@ -16,7 +16,7 @@
 describe('selectHeartbeatTargets', () => {
   it('selects every peer of a small fleet', () => {
     const [self, ...peers] = createFleet(4, 2)
-    expect(selectHeartbeatTargets(self!, peers, FAN_OUT, () => 0)).toEqual({ watchers: peers, watched: peers, picked: [] })
+    expect(selectHeartbeatTargets(self!, peers, FAN_OUT, () => 0)).toEqual({ watchers: peers, watched: peers, randomPeers: [] })
   })
 
   it('selects no peer for a single node', () => {
@@ -42,6 +42,6 @@
   })
 
   it('selects at most the fan-out number of peers in a large fleet', () => {
-    for (const { watchers, picked } of selectAll(createFleet(120, 8)).values()) expect(watchers.length + picked.length).toBeLessThanOrEqual(5)
+    for (const { watchers, randomPeers } of selectAll(createFleet(120, 8)).values()) expect(watchers.length + randomPeers.length).toBeLessThanOrEqual(5)
   })
 })
--- a/src/decisions/selectVerdict/index.ts
+++ b/src/decisions/selectIneligibility/index.ts
@@ -7,11 +7,11 @@
 /**
  * Selects the reason why no server of a service may get a request.
  *
- * @param verdicts - The eligibility of each server of the service.
+ * @param eligibilities - The eligibility of each server of the service.
  * @returns The one that can pass soonest, `'open'` when a server is eligible, or `undefined` without servers.
  *
  * @example
- * selectVerdict(['zoneDrained', 'warmingUp']) // => 'warmingUp'
+ * selectIneligibility(['zoneDrained', 'warmingUp']) // => 'warmingUp'
  */
-export const selectVerdict = (verdicts: readonly InstanceEligibility[]): InstanceEligibility | undefined =>
-  SOONEST_FIRST.find((verdict) => verdicts.includes(verdict))
+export const selectIneligibility = (eligibilities: readonly InstanceEligibility[]): InstanceEligibility | undefined =>
+  SOONEST_FIRST.find((eligibility) => eligibilities.includes(eligibility))
--- a/src/decisions/shareFairly/index.ts
+++ b/src/decisions/selectNextAccount/index.ts
@@ -1,7 +1,7 @@
 /** Selects the client account whose waiting request is sent next when a service is full (weighted fair queuing). */
 
 /** A client account with at least one waiting request. */
-export type Contender = {
+export type AccountCandidate = {
   readonly clientAccount: string
   /** Its share relative to those of other accounts. Greater than 0. */
   readonly weight: number
@@ -12,11 +12,11 @@
 }
 
 /** Work divided by weight; equal for all accounts when shares are fair. */
-export const measureUse = (contender: Contender): number => contender.usage / contender.weight
+export const computeWeightedUsage = (candidate: AccountCandidate): number => candidate.usage / candidate.weight
 
-const compareContenders = (left: Contender, right: Contender): number => {
-  const byUse = measureUse(left) - measureUse(right)
-  if (byUse !== 0) return byUse
+const compareCandidates = (left: AccountCandidate, right: AccountCandidate): number => {
+  const byUsage = computeWeightedUsage(left) - computeWeightedUsage(right)
+  if (byUsage !== 0) return byUsage
   return left.waitingSince - right.waitingSince
 }
 
@@ -27,19 +27,19 @@
  * Tokens are compared, not requests, so an account gains nothing by splitting its
  * work into small requests and loses nothing by sending large ones.
  *
- * @param contenders - Accounts with waiting requests, in any order.
+ * @param candidates - Accounts with waiting requests, in any order.
  * @returns The account to serve next; `undefined` when none is waiting.
  *
  * @example
- * shareFairly([
+ * selectNextAccount([
  *   { clientAccount: 'busy', weight: 1, usage: 500, waitingSince: 1 },
  *   { clientAccount: 'calm', weight: 1, usage: 10, waitingSince: 2 }
  * ]) // => 'calm'
  */
-export const shareFairly = (contenders: readonly Contender[]): string | undefined => {
-  let next: Contender | undefined
-  for (const contender of contenders) {
-    if (next === undefined || compareContenders(contender, next) < 0) next = contender
+export const selectNextAccount = (candidates: readonly AccountCandidate[]): string | undefined => {
+  let next: AccountCandidate | undefined
+  for (const candidate of candidates) {
+    if (next === undefined || compareCandidates(candidate, next) < 0) next = candidate
   }
   return next?.clientAccount
 }
--- a/src/decisions/selectOverShareAccount/index.ts
+++ b/src/decisions/selectOverShareAccount/index.ts
@@ -1,9 +1,9 @@
 /** Selects the client account whose queued request is rejected when the queue is full. */
-import { measureUse } from '../shareFairly/index.js'
-import type { Contender } from '../shareFairly/index.js'
+import { computeWeightedUsage } from '../selectNextAccount/index.js'
+import type { AccountCandidate } from '../selectNextAccount/index.js'
 
 /** An account with waiting requests and their size. */
-export type QueuedContender = Contender & {
+export type QueuedContender = AccountCandidate & {
   /** Size of its queued requests, in tokens. */
   readonly queuedTokens: number
 }
@@ -22,7 +22,7 @@
  * ]) // => 'busy'
  */
 export const selectOverShareAccount = (contenders: readonly QueuedContender[]): string | undefined => {
-  const measureUseWithQueue = (contender: QueuedContender): number => measureUse({ ...contender, usage: contender.usage + contender.queuedTokens })
+  const measureUseWithQueue = (contender: QueuedContender): number => computeWeightedUsage({ ...contender, usage: contender.usage + contender.queuedTokens })
   let worst: { readonly clientAccount: string, readonly use: number } | undefined
   for (const contender of contenders) {
     const use = measureUseWithQueue(contender)
--- a/src/decisions/placeRequest/index.ts
+++ b/src/decisions/selectPlacement/index.ts
@@ -13,14 +13,14 @@
   /** Estimated requests in flight from the whole fleet. */
   readonly load: number
   /** Estimated number of tokens of the prompt's shared prefix that are in its prompt cache. */
-  readonly keptTokens: number
+  readonly cachedPromptTokens: number
   readonly availabilityZone: string
   /** Factor by which its recent requests took longer than those of its peers; 1 when it is as fast as they are. */
   readonly slowness: number
 }
 
 /** A server that caches a prefix of the prompt, which can be copied from it whether or not the server may get the request. */
-export type PromptKeeper = Pick<InstanceCandidate, 'id' | 'availabilityZone' | 'keptTokens'>
+export type PromptCopySource = Pick<InstanceCandidate, 'id' | 'availabilityZone' | 'cachedPromptTokens'>
 
 export type PromptPlacement = {
   readonly id: string
@@ -28,7 +28,7 @@
   readonly copyFrom: string | undefined
 }
 
-export type PlacementQuestion = {
+export type PlacementInput = {
   /** Key that is equal for requests with the same shared prefix, which should go to the same servers; empty when nothing is shared. */
   readonly affinityKey: string
   readonly sharedTokens: number
@@ -51,17 +51,17 @@
   /** Cost in tokens of a kilobyte transferred between zones. */
   readonly tokensPerRemoteKilobyte: number
   /** Cost of copying a token within a zone, as a share of the cost of prefilling it. */
-  readonly copyShare: number
+  readonly copyCostShare: number
   /** The same between two zones, where the data of a copy crosses zones and counts twice. */
-  readonly remoteCopyShare: number
+  readonly remoteCopyCostShare: number
   /** Minimum tokens per copy: for fewer, the call between the servers takes longer than prefilling them. */
-  readonly leastTokensCopied: number
+  readonly minimumTokensCopied: number
   /**
    * Cost reduction for the key's home, the server that ranks highest for the key, as a share of the shared
    * prefix. As it exceeds the cost of a copy, a prefix is copied to its home as soon as the home is eligible.
    * Nodes without prompt cache state, after a start or a network partition, then find it by rank alone.
    */
-  readonly homeShare: number
+  readonly homeCreditShare: number
 }
 
 /** The bound is below the guaranteed factor of 2 and slack of 3, which leaves room for load counts that are up to 250 ms old. */
@@ -70,14 +70,14 @@
   boundSlack: 2.7,
   tokensPerFullLoad: 3000,
   tokensPerRemoteKilobyte: 20,
-  copyShare: 0.2,
-  remoteCopyShare: 0.4,
-  leastTokensCopied: 100,
-  homeShare: 0.5
+  copyCostShare: 0.2,
+  remoteCopyCostShare: 0.4,
+  minimumTokensCopied: 100,
+  homeCreditShare: 0.5
 }
 
 /** The highest-ranked by rendezvous hashing: nodes with the same candidates find the same one, and it changes only when it leaves or a higher-ranked one joins. */
-const findFirstRanked = (affinityKey: string, candidates: readonly InstanceCandidate[]): InstanceCandidate | undefined => {
+const findHome = (affinityKey: string, candidates: readonly InstanceCandidate[]): InstanceCandidate | undefined => {
   if (affinityKey === '') return undefined
   const seed = hashText(affinityKey)
   let best: InstanceCandidate | undefined
@@ -92,17 +92,17 @@
 }
 
 /** Selects the server with the longest cached prefix in each zone. The cost of a copy depends on zone and tokens only, so no other server is cheaper. */
-const findBestKeepers = (keepers: readonly PromptKeeper[]): readonly PromptKeeper[] => {
-  const best = new Map<string, PromptKeeper>()
-  for (const keeper of keepers) {
-    if (keeper.keptTokens > (best.get(keeper.availabilityZone)?.keptTokens ?? 0)) best.set(keeper.availabilityZone, keeper)
+const selectCopySources = (servers: readonly PromptCopySource[]): readonly PromptCopySource[] => {
+  const best = new Map<string, PromptCopySource>()
+  for (const server of servers) {
+    if (server.cachedPromptTokens > (best.get(server.availabilityZone)?.cachedPromptTokens ?? 0)) best.set(server.availabilityZone, server)
   }
   return [...best.values()]
 }
 
-type Offer = PromptPlacement & {
+type PlacementOption = PromptPlacement & {
   /** Cost in prompt tokens without the cost of the load. */
-  readonly fixedCost: number
+  readonly costWithoutLoad: number
   readonly cost: number
 }
 
@@ -110,25 +110,25 @@
  * Of options that differ in load only, selects the better of two random ones (power of two choices). All nodes
  * have the same load counts, some of them 0.5 s old: if each took the least loaded server, all would send to it.
  */
-const drawOffer = (alike: readonly Offer[], random: () => number): Offer => {
-  const first = Math.floor(random() * alike.length)
-  const second = (first + 1 + Math.floor(random() * (alike.length - 1))) % alike.length
-  const [one, other] = [alike[first]!, alike[second]!]
+const drawOption = (options: readonly PlacementOption[], random: () => number): PlacementOption => {
+  const first = Math.floor(random() * options.length)
+  const second = (first + 1 + Math.floor(random() * (options.length - 1))) % options.length
+  const [one, other] = [options[first]!, options[second]!]
   return one.cost <= other.cost ? one : other
 }
 
-type Reading = { readonly cost: number, readonly copyFrom: string | undefined }
+type PrefixSupply = { readonly cost: number, readonly copyFrom: string | undefined }
 
 /** Selects the cheapest way for a candidate to get the prefix tokens that it lacks: prefill, or a copy from another server. */
-const findReading = (candidate: InstanceCandidate, sharedTokens: number, keepers: readonly PromptKeeper[], weights: PlacementWeights): Reading => {
-  const missing = Math.max(0, sharedTokens - candidate.keptTokens)
-  let best: Reading = { cost: missing, copyFrom: undefined }
-  for (const keeper of keepers) {
-    const copied = Math.min(missing, keeper.keptTokens - candidate.keptTokens)
-    if (copied < weights.leastTokensCopied) continue
-    const share = keeper.availabilityZone === candidate.availabilityZone ? weights.copyShare : weights.remoteCopyShare
+const selectPrefixSupply = (candidate: InstanceCandidate, sharedTokens: number, copySources: readonly PromptCopySource[], weights: PlacementWeights): PrefixSupply => {
+  const missing = Math.max(0, sharedTokens - candidate.cachedPromptTokens)
+  let best: PrefixSupply = { cost: missing, copyFrom: undefined }
+  for (const source of copySources) {
+    const copied = Math.min(missing, source.cachedPromptTokens - candidate.cachedPromptTokens)
+    if (copied < weights.minimumTokensCopied) continue
+    const share = source.availabilityZone === candidate.availabilityZone ? weights.copyCostShare : weights.remoteCopyCostShare
     const cost = missing - copied + share * copied
-    if (cost < best.cost) best = { cost, copyFrom: keeper.id }
+    if (cost < best.cost) best = { cost, copyFrom: source.id }
   }
   return best
 }
@@ -157,39 +157,39 @@
  * candidates that differ in load only, two are drawn at random, so that many
  * nodes with the same view do not all select the same one.
  *
- * @param question - The request to place.
+ * @param input - The request to place.
  * @param candidates - Backend servers that may get the request.
- * @param keepers - Backend servers from which a cached prefix can be copied.
+ * @param copySources - Backend servers from which a cached prefix can be copied.
  * @param random - Returns a number in [0, 1) per call.
  * @param weights - Costs and bounds.
  * @returns The placement, or `undefined` without candidates.
  *
  * @example
- * placeRequest({ affinityKey: '', sharedTokens: 0, expectedBytes: 0, availabilityZone: 'a' }, [], [], Math.random) // => undefined
+ * selectPlacement({ affinityKey: '', sharedTokens: 0, expectedBytes: 0, availabilityZone: 'a' }, [], [], Math.random) // => undefined
  */
-export const placeRequest = (
-  question: PlacementQuestion,
+export const selectPlacement = (
+  input: PlacementInput,
   candidates: readonly InstanceCandidate[],
-  keepers: readonly PromptKeeper[],
+  copySources: readonly PromptCopySource[],
   random: () => number,
   weights: PlacementWeights = defaultPlacementWeights
 ): PromptPlacement | undefined => {
   if (candidates.length === 0) return undefined
-  const bound = computeLoadBound(question.meanLoad ?? computeMeanLoad(candidates), weights)
-  const home = findFirstRanked(question.affinityKey, candidates)
-  const sources = findBestKeepers(keepers)
-  const remoteWay = weights.tokensPerRemoteKilobyte * question.expectedBytes / 1024
+  const bound = computeLoadBound(input.meanLoad ?? computeMeanLoad(candidates), weights)
+  const home = findHome(input.affinityKey, candidates)
+  const bestCopySources = selectCopySources(copySources)
+  const remoteTransferCost = weights.tokensPerRemoteKilobyte * input.expectedBytes / 1024
   const open = candidates.filter(({ load, slots }) => load + 1 <= bound && load < slots)
   const eligible = open.length > 0 ? open : [...candidates].sort((left, right) => left.load / left.slots - right.load / right.slots).slice(0, 1)
-  const offers = eligible.map((candidate): Offer => {
-    const reading = findReading(candidate, question.sharedTokens, sources, weights)
-    const crowd = weights.tokensPerFullLoad * (candidate.load + 1) / candidate.slots * candidate.slowness
-    const way = candidate.availabilityZone === question.availabilityZone ? 0 : remoteWay
-    const credit = candidate.id === home?.id ? weights.homeShare * question.sharedTokens : 0
-    const fixedCost = reading.cost + way - credit
-    return { id: candidate.id, copyFrom: reading.copyFrom, fixedCost, cost: fixedCost + crowd }
+  const options = eligible.map((candidate): PlacementOption => {
+    const prefixSupply = selectPrefixSupply(candidate, input.sharedTokens, bestCopySources, weights)
+    const loadCost = weights.tokensPerFullLoad * (candidate.load + 1) / candidate.slots * candidate.slowness
+    const transferCost = candidate.availabilityZone === input.availabilityZone ? 0 : remoteTransferCost
+    const homeCredit = candidate.id === home?.id ? weights.homeCreditShare * input.sharedTokens : 0
+    const fixedCost = prefixSupply.cost + transferCost - homeCredit
+    return { id: candidate.id, copyFrom: prefixSupply.copyFrom, costWithoutLoad: fixedCost, cost: fixedCost + loadCost }
   })
-  const drawn = [...groupBy(offers, ({ fixedCost }) => fixedCost).values()].map((alike) => drawOffer(alike, random))
+  const drawn = [...groupBy(options, ({ costWithoutLoad: fixedCost }) => fixedCost).values()].map((equalOptions) => drawOption(equalOptions, random))
   const { id, copyFrom } = drawn.reduce((one, other) => other.cost < one.cost ? other : one)
   return { id, copyFrom }
 }
--- a/src/decisions/placeRequest/test.ts
+++ b/src/decisions/selectPlacement/test.ts
@@ -1,59 +1,59 @@
 import { describe, expect, test } from 'vitest'
-import { defaultPlacementWeights, placeRequest } from './index.js'
+import { defaultPlacementWeights, selectPlacement } from './index.js'
 import { createSeededRandom } from '../../adapters/seededRandom/index.js'
-import type { InstanceCandidate, PlacementQuestion, PromptKeeper } from './index.js'
+import type { InstanceCandidate, PlacementInput, PromptCopySource } from './index.js'
 
 const createCandidate = (id: string, changes: Partial<InstanceCandidate> = {}): InstanceCandidate =>
-  ({ id, slots: 64, load: 4, keptTokens: 0, availabilityZone: 'a', slowness: 1, ...changes })
+  ({ id, slots: 64, load: 4, cachedPromptTokens: 0, availabilityZone: 'a', slowness: 1, ...changes })
 
-const createQuestion = (changes: Partial<PlacementQuestion> = {}): PlacementQuestion =>
+const createInput = (changes: Partial<PlacementInput> = {}): PlacementInput =>
   ({ affinityKey: 'part', sharedTokens: 8_000, expectedBytes: 20_000, availabilityZone: 'a', ...changes })
 
 const createServers = (count: number, changes: Partial<InstanceCandidate> = {}): readonly InstanceCandidate[] =>
   Array.from({ length: count }, (_, index) => createCandidate(`s${index}`, changes))
 
-const still = (): number => 0.5
+const fixedRandom = (): number => 0.5
 
-const place = (question: PlacementQuestion, candidates: readonly InstanceCandidate[], random = still, keepers: readonly PromptKeeper[] = []): string | undefined =>
-  placeRequest(question, candidates, keepers, random)?.id
+const place = (input: PlacementInput, candidates: readonly InstanceCandidate[], random = fixedRandom, copySources: readonly PromptCopySource[] = []): string | undefined =>
+  selectPlacement(input, candidates, copySources, random)?.id
 
-describe('placeRequest', () => {
-  test('selects nothing without candidates', () => expect(place(createQuestion(), [], still)).toBeUndefined())
+describe('selectPlacement', () => {
+  test('selects nothing without candidates', () => expect(place(createInput(), [], fixedRandom)).toBeUndefined())
 
   test('prefers the server that caches the prompt to a less loaded one', () => {
-    const servers = [createCandidate('kept', { keptTokens: 8_000, load: 6 }), createCandidate('empty', { load: 2 })]
-    expect(place(createQuestion(), servers, still)).toBe('kept')
+    const servers = [createCandidate('kept', { cachedPromptTokens: 8_000, load: 6 }), createCandidate('empty', { load: 2 })]
+    expect(place(createInput(), servers, fixedRandom)).toBe('kept')
   })
 
   test('sends one key to one server while no cached prefix is known', () => {
-    const chosen = new Set(Array.from({ length: 20 }, () => place(createQuestion(), createServers(12), Math.random)))
+    const chosen = new Set(Array.from({ length: 20 }, () => place(createInput(), createServers(12), Math.random)))
     expect(chosen.size).toBe(1)
   })
 
   test('spreads many keys over the servers', () => {
-    const chosen = new Set(Array.from({ length: 200 }, (_, index) => place(createQuestion({ affinityKey: `key-${index}` }), createServers(12), still)))
+    const chosen = new Set(Array.from({ length: 200 }, (_, index) => place(createInput({ affinityKey: `key-${index}` }), createServers(12), fixedRandom)))
     expect(chosen.size).toBe(12)
   })
 
   test('moves only the keys of a server that left', () => {
     const all = createServers(12)
-    const moved = Array.from({ length: 200 }, (_, index) => createQuestion({ affinityKey: `key-${index}` }))
-      .filter((question) => place(question, all, still) !== 's3')
-      .filter((question) => place(question, all, still) !== place(question, all.filter(({ id }) => id !== 's3'), still))
+    const moved = Array.from({ length: 200 }, (_, index) => createInput({ affinityKey: `key-${index}` }))
+      .filter((input) => place(input, all, fixedRandom) !== 's3')
+      .filter((input) => place(input, all, fixedRandom) !== place(input, all.filter(({ id }) => id !== 's3'), fixedRandom))
     expect(moved).toHaveLength(0)
   })
 
   // A burst of requests for one shared prefix would take its server over the load bound.
   test('selects another server when the one that caches the prompt is over the bound', () => {
-    const servers = [createCandidate('kept', { keptTokens: 8_000, load: 20 }), ...createServers(5, { load: 3 })]
-    expect(place(createQuestion(), servers, still)).not.toBe('kept')
+    const servers = [createCandidate('kept', { cachedPromptTokens: 8_000, load: 20 }), ...createServers(5, { load: 3 })]
+    expect(place(createInput(), servers, fixedRandom)).not.toBe('kept')
   })
 
   test('keeps every load under the guaranteed bound during a burst', () => {
     const loads = new Map(createServers(12, { load: 0 }).map(({ id }) => [id, 0]))
     for (let arrived = 0; arrived < 200; arrived++) {
-      const servers = createServers(12).map((server) => ({ ...server, load: loads.get(server.id) ?? 0, keptTokens: server.id === 's1' ? 8_000 : 0 }))
-      const chosen = place(createQuestion(), servers, still)!
+      const servers = createServers(12).map((server) => ({ ...server, load: loads.get(server.id) ?? 0, cachedPromptTokens: server.id === 's1' ? 8_000 : 0 }))
+      const chosen = place(createInput(), servers, fixedRandom)!
       loads.set(chosen, loads.get(chosen)! + 1)
       const mean = [...loads.values()].reduce((sum, load) => sum + load, 0) / 12
       expect(Math.max(...loads.values())).toBeLessThanOrEqual(2 * mean + 3)
@@ -62,59 +62,59 @@
 
   test('selects the least loaded when all are full', () => {
     const servers = [createCandidate('a', { slots: 6, load: 9 }), createCandidate('b', { slots: 6, load: 7 })]
-    expect(place(createQuestion({ sharedTokens: 0, affinityKey: '' }), servers, still)).toBe('b')
+    expect(place(createInput({ sharedTokens: 0, affinityKey: '' }), servers, fixedRandom)).toBe('b')
   })
 
   test('prefers the zone of the node when all else is equal', () => {
     const servers = [createCandidate('far', { availabilityZone: 'b', slots: 6, load: 1 }), createCandidate('near', { slots: 6, load: 1 })]
-    expect(place(createQuestion({ sharedTokens: 0, affinityKey: '' }), servers, still)).toBe('near')
+    expect(place(createInput({ sharedTokens: 0, affinityKey: '' }), servers, fixedRandom)).toBe('near')
   })
 
   // Otherwise the bytes of a long response would cross zones to save the prefill of a short prompt.
   test('copies a prompt into its own zone when a long response from another zone costs more', () => {
-    const far = createCandidate('far', { availabilityZone: 'b', keptTokens: 400 })
+    const far = createCandidate('far', { availabilityZone: 'b', cachedPromptTokens: 400 })
     const near = createCandidate('near')
-    expect(placeRequest(createQuestion({ sharedTokens: 400, expectedBytes: 10_000 }), [far, near], [far], still)).toEqual({ id: 'near', copyFrom: 'far' })
+    expect(selectPlacement(createInput({ sharedTokens: 400, expectedBytes: 10_000 }), [far, near], [far], fixedRandom)).toEqual({ id: 'near', copyFrom: 'far' })
   })
 
   test('uses the server that caches a long prompt, also in another zone', () => {
-    const far = createCandidate('far', { availabilityZone: 'b', keptTokens: 8_000 })
-    expect(placeRequest(createQuestion({ affinityKey: '' }), [far, createCandidate('near')], [far], still)).toEqual({ id: 'far', copyFrom: undefined })
+    const far = createCandidate('far', { availabilityZone: 'b', cachedPromptTokens: 8_000 })
+    expect(selectPlacement(createInput({ affinityKey: '' }), [far, createCandidate('near')], [far], fixedRandom)).toEqual({ id: 'far', copyFrom: undefined })
   })
 
   // Nodes without prompt cache state, after a start or in a partitioned zone, find a prompt by rank alone, at its home only.
   test('copies a prompt to its home, and uses it there afterwards', () => {
     const others = createServers(8, { load: 2 })
-    const home = place(createQuestion(), others)!
-    const keeper = createCandidate(others.find(({ id }) => id !== home)!.id, { keptTokens: 8_000, load: 2 })
-    const servers = others.map((server) => server.id === keeper.id ? keeper : server)
-    expect(placeRequest(createQuestion(), servers, [keeper], still)).toEqual({ id: home, copyFrom: keeper.id })
-    const moved = servers.map((server) => server.id === home ? { ...server, keptTokens: 8_000 } : server)
-    expect(placeRequest(createQuestion(), moved, moved.filter(({ keptTokens }) => keptTokens > 0), still)).toEqual({ id: home, copyFrom: undefined })
+    const home = place(createInput(), others)!
+    const copySource = createCandidate(others.find(({ id }) => id !== home)!.id, { cachedPromptTokens: 8_000, load: 2 })
+    const servers = others.map((server) => server.id === copySource.id ? copySource : server)
+    expect(selectPlacement(createInput(), servers, [copySource], fixedRandom)).toEqual({ id: home, copyFrom: copySource.id })
+    const moved = servers.map((server) => server.id === home ? { ...server, cachedPromptTokens: 8_000 } : server)
+    expect(selectPlacement(createInput(), moved, moved.filter(({ cachedPromptTokens }) => cachedPromptTokens > 0), fixedRandom)).toEqual({ id: home, copyFrom: undefined })
   })
 
   test('makes no copy to a server that is not the home while a server that caches the prompt has capacity', () => {
     const servers = createServers(8, { load: 2 })
-    const home = place(createQuestion(), servers)!
-    const kept = servers.map((server) => server.id === home ? { ...server, keptTokens: 8_000, load: 4 } : server)
-    expect(placeRequest(createQuestion(), kept, kept.filter(({ id }) => id === home), still)).toEqual({ id: home, copyFrom: undefined })
+    const home = place(createInput(), servers)!
+    const kept = servers.map((server) => server.id === home ? { ...server, cachedPromptTokens: 8_000, load: 4 } : server)
+    expect(selectPlacement(createInput(), kept, kept.filter(({ id }) => id === home), fixedRandom)).toEqual({ id: home, copyFrom: undefined })
   })
 
   // The data of a copy between zones crosses zones, so it costs twice as much.
   test('copies from a server of the same zone, though a server of another zone caches slightly more', () => {
-    const keepers = [createCandidate('far', { availabilityZone: 'b', keptTokens: 8_000, load: 40 }), createCandidate('near', { keptTokens: 7_800, load: 40 })]
+    const copySources = [createCandidate('far', { availabilityZone: 'b', cachedPromptTokens: 8_000, load: 40 }), createCandidate('near', { cachedPromptTokens: 7_800, load: 40 })]
     const free = createCandidate('free', { load: 0 })
-    expect(placeRequest(createQuestion(), [...keepers, free, createCandidate('other', { load: 9 })], keepers, still)).toEqual({ id: 'free', copyFrom: 'near' })
+    expect(selectPlacement(createInput(), [...copySources, free, createCandidate('other', { load: 9 })], copySources, fixedRandom)).toEqual({ id: 'free', copyFrom: 'near' })
   })
 
   test('prefills a few tokens rather than copying them', () => {
-    const keeper = { ...createCandidate('leaving'), keptTokens: 80 }
-    expect(placeRequest(createQuestion({ sharedTokens: 80 }), [createCandidate('next')], [keeper], still)).toEqual({ id: 'next', copyFrom: undefined })
+    const copySource = { ...createCandidate('leaving'), cachedPromptTokens: 80 }
+    expect(selectPlacement(createInput({ sharedTokens: 80 }), [createCandidate('next')], [copySource], fixedRandom)).toEqual({ id: 'next', copyFrom: undefined })
   })
 
   test('prefers a fast server with more load to a slow one', () => {
     const servers = [createCandidate('slow', { slowness: 8, load: 2 }), createCandidate('quick', { load: 3 })]
-    expect(place(createQuestion({ sharedTokens: 0, affinityKey: '' }), servers, still)).toBe('quick')
+    expect(place(createInput({ sharedTokens: 0, affinityKey: '' }), servers, fixedRandom)).toBe('quick')
   })
 
   test('leaves room under the guaranteed bound for stale counts', () => {
@@ -126,11 +126,11 @@
   // take it over the load bound.
   test('keeps the guaranteed bound when many nodes place by the same stale loads', () => {
     const random = createSeededRandom(7).next
-    const believed = [createCandidate('empty', { load: 0 }), ...createServers(13, { load: 3 })]
-    const keeper = createCandidate('keeper', { keptTokens: 8_000, load: 40 })
-    const loads = new Map(believed.map(({ id, load }) => [id, load]))
+    const estimated = [createCandidate('empty', { load: 0 }), ...createServers(13, { load: 3 })]
+    const copySource = createCandidate('keeper', { cachedPromptTokens: 8_000, load: 40 })
+    const loads = new Map(estimated.map(({ id, load }) => [id, load]))
     for (let node = 0; node < 25; node++) {
-      const id = place(createQuestion({ affinityKey: '', meanLoad: 3 }), [...believed, keeper], random, [keeper])!
+      const id = place(createInput({ affinityKey: '', meanLoad: 3 }), [...estimated, copySource], random, [copySource])!
       loads.set(id, loads.get(id)! + 1)
     }
     const mean = [...loads.values()].reduce((sum, load) => sum + load, 0) / loads.size
@@ -138,11 +138,11 @@
   })
 
   test('selects the less loaded of two otherwise equal servers', () =>
-    expect(place(createQuestion({ affinityKey: '' }), [createCandidate('busy', { load: 6 }), createCandidate('idle', { load: 1 })], createSeededRandom(3).next)).toBe('idle'))
+    expect(place(createInput({ affinityKey: '' }), [createCandidate('busy', { load: 6 }), createCandidate('idle', { load: 1 })], createSeededRandom(3).next)).toBe('idle'))
 
   test('includes servers that may not get the request in the mean load of the bound', () => {
-    const servers = [createCandidate('kept', { keptTokens: 8_000, load: 11 }), ...createServers(5, { load: 4 })]
-    expect(place(createQuestion({ affinityKey: '' }), servers)).toBe('kept')
-    expect(place(createQuestion({ affinityKey: '', meanLoad: 3 }), servers)).not.toBe('kept')
+    const servers = [createCandidate('kept', { cachedPromptTokens: 8_000, load: 11 }), ...createServers(5, { load: 4 })]
+    expect(place(createInput({ affinityKey: '' }), servers)).toBe('kept')
+    expect(place(createInput({ affinityKey: '', meanLoad: 3 }), servers)).not.toBe('kept')
   })
 })
--- a/src/decisions/selectReaders/test.ts
+++ b/src/decisions/selectPlatformReaders/test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from 'vitest'
-import { selectReaders } from './index.js'
+import { selectPlatformReaders } from './index.js'
 import type { Member } from '../../types/index.js'
 
 const createMember = (nodeId: string, availabilityZone: string, state: Member['state'] = 'live'): Member =>
@@ -13,27 +13,27 @@
   createMember('c-1', 'c')
 ]
 
-describe('selectReaders', () => {
+describe('selectPlatformReaders', () => {
   test('selects the first node of the zone, and the reader of the next zone as second source', () => {
-    const { own, asked } = selectReaders('a', THREE_ZONES)
+    const { own, queried } = selectPlatformReaders('a', THREE_ZONES)
     expect(names(own)).toEqual(['a-1'])
-    expect(names(asked)).toEqual(['a-1', 'b-1'])
+    expect(names(queried)).toEqual(['a-1', 'b-1'])
   })
 
   test('wraps around from the last zone to the first', () => {
-    expect(names(selectReaders('c', THREE_ZONES).asked)).toEqual(['c-1', 'a-1'])
+    expect(names(selectPlatformReaders('c', THREE_ZONES).queried)).toEqual(['c-1', 'a-1'])
   })
 
   test('selects the next node as reader when the first is not live', () => {
     const members = [createMember('a-1', 'a', 'suspect'), ...THREE_ZONES.slice(1)]
-    expect(names(selectReaders('a', members).own)).toEqual(['a-2'])
+    expect(names(selectPlatformReaders('a', members).own)).toEqual(['a-2'])
   })
 
   // In a network partition, the nodes of an isolated zone consider all others dead, and may lose their reader as well.
   test('selects two readers when no other zone is reachable', () => {
     const members = THREE_ZONES.map((member) => member.availabilityZone === 'a' ? member : { ...member, state: 'dead' as const })
-    const { own, asked } = selectReaders('a', members)
+    const { own, queried } = selectPlatformReaders('a', members)
     expect(names(own)).toEqual(['a-1', 'a-2'])
-    expect(names(asked)).toEqual(['a-1', 'a-2'])
+    expect(names(queried)).toEqual(['a-1', 'a-2'])
   })
 })
--- a/src/decisions/selectProbers/index.ts
+++ b/src/decisions/selectProbers/index.ts
@@ -38,11 +38,11 @@
  */
 export const selectProbers = (servers: readonly ProbedServer[], routers: readonly Member[], { intervalMs, probesPerSecond }: ProbeBudget): Probers => {
   const probesPerInterval = routers.length * probesPerSecond * intervalMs / MS_PER_SECOND
-  const affordable = probesPerInterval / Math.max(1, servers.length)
-  const count = Math.min(routers.length, Math.max(1, Math.floor(affordable)))
+  const probersPerServer = probesPerInterval / Math.max(1, servers.length)
+  const count = Math.min(routers.length, Math.max(1, Math.floor(probersPerServer)))
   return {
     byServer: new Map(servers.map((server) => [server.name, rankMembers(server.name, routers, count)])),
-    intervalMs: affordable >= 1 || routers.length === 0 ? intervalMs : intervalMs / affordable
+    intervalMs: probersPerServer >= 1 || routers.length === 0 ? intervalMs : intervalMs / probersPerServer
   }
 }
 
--- a/src/decisions/selectTarget/index.ts
+++ b/src/decisions/selectRouteTarget/index.ts
@@ -9,9 +9,9 @@
  * @returns The selected target.
  *
  * @example
- * selectTarget([{ service: 'engines', weight: 1 }], 0.7).service // => 'engines'
+ * selectRouteTarget([{ service: 'engines', weight: 1 }], 0.7).service // => 'engines'
  */
-export const selectTarget = (targets: readonly GatewayTarget[], share: number): GatewayTarget => {
+export const selectRouteTarget = (targets: readonly GatewayTarget[], share: number): GatewayTarget => {
   const total = targets.reduce((sum, target) => sum + target.weight, 0)
   let left = share * total
   for (const target of targets) {
--- a/src/decisions/splitSheetIntoChunks/index.ts
+++ b/src/decisions/splitSheetIntoChunks/index.ts
@@ -35,7 +35,7 @@
   const count = chooseBucketCount(bytes, previousBuckets)
   const buckets: string[][] = Array.from({ length: count }, () => [])
   for (const { key, text } of lines) buckets[chooseBucket(hashContent(key), count)]!.push(text)
-  return buckets.map((bucket) => toChunk(bucket, hashContent))
+  return buckets.map((bucket) => createChunk(bucket, hashContent))
 }
 
 type RecordLine = { readonly key: string, readonly text: string }
@@ -47,19 +47,19 @@
 const stringifyWithSortedKeys = (record: object): string => JSON.stringify(record, Object.keys(record).sort())
 
 const chooseBucketCount = (bytes: number, previous?: number): number => {
-  if (previous !== undefined && isPowerOfTwo(previous) && isKept(bytes / previous, previous)) return previous
+  if (previous !== undefined && isPowerOfTwo(previous) && hasAcceptableChunkSize(bytes / previous, previous)) return previous
   const needed = Math.max(1, bytes / TARGET_CHUNK_BYTES)
   return Math.min(MAXIMUM_BUCKETS, 2 ** Math.ceil(Math.log2(needed)))
 }
 
-const isKept = (chunkBytes: number, previous: number): boolean =>
+const hasAcceptableChunkSize = (chunkBytes: number, previous: number): boolean =>
   chunkBytes <= TARGET_CHUNK_BYTES * 2 && (previous === 1 || chunkBytes >= TARGET_CHUNK_BYTES / 4)
 
 const isPowerOfTwo = (value: number): boolean => value >= 1 && value <= MAXIMUM_BUCKETS && Number.isInteger(Math.log2(value))
 
 const chooseBucket = (hash: string, count: number): number => parseInt(hash.slice(0, BUCKET_HASH_DIGITS), 16) % count
 
-const toChunk = (lines: readonly string[], hashContent: HashContent): ConfigurationChunk => {
+const createChunk = (lines: readonly string[], hashContent: HashContent): ConfigurationChunk => {
   const bytes = new TextEncoder().encode(`{"format":1,"records":[${lines.join(',\n')}]}`)
   return { hash: hashContent(bytes), bytes }
 }
--- a/src/decisions/summarizeFleet/index.ts
+++ b/src/decisions/summarizeFleet/index.ts
@@ -43,29 +43,29 @@
   open: left.open + right.open
 })
 
-type Sighting = { readonly nodeId: string, readonly status: BackendServerStatus }
+type ServerReport = { readonly nodeId: string, readonly status: BackendServerStatus }
 
-const findCommonState = (sightings: readonly Sighting[]): BackendServerState => {
-  const countOf = (state: BackendServerState): number => sightings.filter(({ status }) => status.state === state).length
-  return sightings.map(({ status }) => status.state).reduce((common, state) => countOf(state) > countOf(common) ? state : common)
+const findCommonState = (reports: readonly ServerReport[]): BackendServerState => {
+  const countOf = (state: BackendServerState): number => reports.filter(({ status }) => status.state === state).length
+  return reports.map(({ status }) => status.state).reduce((common, state) => countOf(state) > countOf(common) ? state : common)
 }
 
-const summarizeBackendServer = (backendServer: string, sightings: readonly Sighting[]): BackendServerSummary => {
-  const state = findCommonState(sightings)
-  const inFlight = sightings.reduce((sum, { status }) => sum + status.ownInFlight, 0)
+const summarizeBackendServer = (backendServer: string, reports: readonly ServerReport[]): BackendServerSummary => {
+  const state = findCommonState(reports)
+  const inFlight = reports.reduce((sum, { status }) => sum + status.ownInFlight, 0)
   return {
     backendServer,
     state,
-    dissenting: sightings.filter(({ status }) => status.state !== state).map(({ nodeId }) => nodeId),
+    dissenting: reports.filter(({ status }) => status.state !== state).map(({ nodeId }) => nodeId),
     inFlight,
     isDrained: state === 'leaving' && inFlight === 0
   }
 }
 
 const summarizeBackendServers = (nodes: readonly NodeStatus[]): readonly BackendServerSummary[] => {
-  const sightings = nodes.flatMap(({ nodeId, backendServers }) => backendServers.map((status): Sighting => ({ nodeId, status })))
-  const names = [...new Set(sightings.map(({ status }) => status.backendServer))].sort()
-  return names.map((name) => summarizeBackendServer(name, sightings.filter(({ status }) => status.backendServer === name)))
+  const reports = nodes.flatMap(({ nodeId, backendServers }) => backendServers.map((status): ServerReport => ({ nodeId, status })))
+  const names = [...new Set(reports.map(({ status }) => status.backendServer))].sort()
+  return names.map((name) => summarizeBackendServer(name, reports.filter(({ status }) => status.backendServer === name)))
 }
 
 const sumTokens = (nodes: readonly NodeStatus[]): ReadonlyMap<string, number> => {
--- a/src/services/_lib/createSourceFollower.ts
+++ b/src/services/_lib/createSourceFollower.ts
@@ -4,8 +4,8 @@
  * source while they report.
  */
 import { describeSourceError } from '../../decisions/describeSourceError/index.js'
-import { paceSourceReads } from '../../decisions/paceSourceReads/index.js'
-import type { SourceReadPace } from '../../decisions/paceSourceReads/index.js'
+import { planSourceRead } from '../../decisions/planSourceRead/index.js'
+import type { SourceReadPlan } from '../../decisions/planSourceRead/index.js'
 import type { Clock, Result, SourceError, Timer } from '../../types/index.js'
 
 /** Result of one read of the source; calling its value applies what was read. */
@@ -85,7 +85,7 @@
   const wait = (ms: number): Promise<void> => new Promise((resolve) => { timer = clock.setTimer(ms, resolve) })
 
   /** A node without a list does not rely on readers. */
-  const pace = (): SourceReadPace => paceSourceReads({
+  const pace = (): SourceReadPlan => planSourceRead({
     isReader: !source.isKnown() || options.isReader?.() !== false,
     ageMs: clock.now() - relayedAt,
     relianceMs: options.relianceMs ?? 0,
@@ -101,11 +101,11 @@
     let isListed = false
     for (;;) {
       if (isStopped) return
-      const { isRelying, lookAfterMs, retryAfterMs } = pace()
+      const { isRelyingOnReaders: isRelying, recheckAfterMs: lookAfterMs, retryAfterMs } = pace()
       if (isRelying) {
         isListed = false
         await wait(lookAfterMs)
-        if (!pace().isRelying) endReliance()
+        if (!pace().isRelyingOnReaders) endReliance()
         continue
       }
       const reading: SourceReading = isListed ? await source.watch() : await source.readAll()
--- a/src/services/admission/_lib/createServiceQueue.ts
+++ b/src/services/admission/_lib/createServiceQueue.ts
@@ -6,7 +6,7 @@
 import { failure, success } from '../../../kernel/index.js'
 import { selectOverShareAccount } from '../../../decisions/selectOverShareAccount/index.js'
 import type { QueuedContender } from '../../../decisions/selectOverShareAccount/index.js'
-import { shareFairly } from '../../../decisions/shareFairly/index.js'
+import { selectNextAccount } from '../../../decisions/selectNextAccount/index.js'
 import type { AdmissionDemand, AdmissionRefusal, AdmissionTicket, Clock, RefusalReason, Result, Timer } from '../../../types/index.js'
 import type { AdmissionOptions } from '../index.js'
 import { createThroughputEstimate } from './createThroughputEstimate.js'
@@ -93,7 +93,7 @@
 
   const takeNext = (): WaitingRequest | undefined => {
     const list = selectList()
-    const next = shareFairly(list.accounts().map(describe))
+    const next = selectNextAccount(list.accounts().map(describe))
     return next === undefined ? undefined : list.takeOldest(next)
   }
 
--- a/src/services/backendHealth/_lib/createLeavingMarkSet.ts
+++ b/src/services/backendHealth/_lib/createLeavingMarkSet.ts
@@ -3,8 +3,8 @@
  * sent with the next heartbeat.
  */
 import { mergeLeavingMark } from '../../../decisions/mergeLeavingMark/index.js'
-import { observeLeaving } from '../../../decisions/observeLeaving/index.js'
-import type { LeavingObservation, LeavingSight } from '../../../decisions/observeLeaving/index.js'
+import { applyLeavingObservation } from '../../../decisions/applyLeavingObservation/index.js'
+import type { LeavingObservation, LeavingStatus } from '../../../decisions/applyLeavingObservation/index.js'
 import type { LeavingMark, LeavingSource } from '../../../types/index.js'
 
 export type LeavingMarkSet = {
@@ -23,7 +23,7 @@
   readonly resendMs: number
 }
 
-type Entry = { observed: LeavingSight, changedAt: number }
+type Entry = { observed: LeavingStatus, changedAt: number }
 
 const MAXIMUM_MARKS_PER_HEARTBEAT = 16
 const DEFAULT_SOURCE: LeavingSource = 'backendServer'
@@ -57,7 +57,7 @@
     observe: (observation) => {
       const entry = findEntry(observation.backendServer, observation.source)
       const before = entry.observed
-      entry.observed = observeLeaving(before, observation, clearAfterMs[observation.source])
+      entry.observed = applyLeavingObservation(before, observation, clearAfterMs[observation.source])
       if (entry.observed.mark !== before.mark) entry.changedAt = observation.observedAt
     },
     merge: (mark, now) => {
--- a/src/services/dispatch/_lib/createRetryPlanner.ts
+++ b/src/services/dispatch/_lib/createRetryPlanner.ts
@@ -39,7 +39,7 @@
       attempts,
       resumes: resume.resumes,
       remainingMs: scope.remainingMs(),
-      budgetAvailable: retryAllowance.isAvailable(),
+      isBudgetAvailable: retryAllowance.isAvailable(),
       random: dependencies.random.next()
     }, limits),
     mayHaveRun: () => mayHaveRun,
--- a/src/services/dispatch/_lib/readRoutedRequest.ts
+++ b/src/services/dispatch/_lib/readRoutedRequest.ts
@@ -4,7 +4,7 @@
  */
 import { createRefusal } from '../../../decisions/createRefusal/index.js'
 import { matchRoute } from '../../../decisions/matchRoute/index.js'
-import { normalisePath, type NormalPath } from '../../../decisions/normalisePath/index.js'
+import { normalizePath, type NormalizedPath } from '../../../decisions/normalizePath/index.js'
 import { CHAT_COOKIE } from '../../../decisions/selectReturnedHeaders/index.js'
 import { failure, success } from '../../../kernel/index.js'
 import type { BackendServiceKind, CallerRequest, ClientAccount, Headers, Refusal, RefusalReason, Result, Route } from '../../../types/index.js'
@@ -86,7 +86,7 @@
   })
 }
 
-const readDestination = (index: ConfigurationIndex, request: CallerRequest, account: ClientAccount, { path }: NormalPath): Result<Destination, Refusal> =>
+const readDestination = (index: ConfigurationIndex, request: CallerRequest, account: ClientAccount, { path }: NormalizedPath): Result<Destination, Refusal> =>
   path === CHAT_COMPLETIONS_PATH
     ? readModelDestination(index, request, account)
     : readPlainDestination(index, request, account, path)
@@ -109,7 +109,7 @@
 export const readRoutedRequest = (index: ConfigurationIndex, request: CallerRequest): Result<RoutedRequest, Refusal> => {
   const account = authenticateCaller(index, request)
   if (account === undefined) return refuse('unauthorized', 'the key is missing or not known')
-  const path = normalisePath(request.path)
+  const path = normalizePath(request.path)
   if (!path.ok) return refuse('badRequest', path.error)
   const destination = readDestination(index, request, account, path.value)
   if (!destination.ok) return destination
--- a/src/services/dispatch/_lib/relayEvents.ts
+++ b/src/services/dispatch/_lib/relayEvents.ts
@@ -4,7 +4,7 @@
  * backend server.
  */
 import { createParser, type EventSourceMessage } from 'eventsource-parser'
-import { orderStreamEvent, type StreamPosition } from '../../../decisions/orderStreamEvent/index.js'
+import { evaluateStreamEvent, type StreamPosition } from '../../../decisions/evaluateStreamEvent/index.js'
 import type { BackendAnswer, BackendBodyPart, BackendServer, Headers } from '../../../types/index.js'
 import { createFailedAttempt, type AttemptEnd } from './attemptEnd.js'
 import type { RetryPlanner } from './createRetryPlanner.js'
@@ -45,10 +45,10 @@
 }
 
 /** Checks the event against the sequence of event ids. The end marker may come without an id. */
-const checkEventOrder = (progress: StreamProgress, event: EventSourceMessage): ReturnType<typeof orderStreamEvent> =>
+const checkEventOrder = (progress: StreamProgress, event: EventSourceMessage): ReturnType<typeof evaluateStreamEvent> =>
   event.data === END_MARKER && event.id === undefined
     ? { kind: 'forward', position: progress.position }
-    : orderStreamEvent(progress.position, event.id)
+    : evaluateStreamEvent(progress.position, event.id)
 
 const bufferEvent = ({ limits }: RequestContext, progress: StreamProgress, bytes: Uint8Array): void => {
   progress.bufferedBytes += bytes.length
@@ -123,7 +123,7 @@
   const { dependencies, scope, reply } = context
   const cut = createFailedAttempt('written', 'answerStarted', 'cut')
   const canRequestResume = reply.hasStarted() || !isUnreachable(context, backendServer)
-  let isResumable = progress.position.numbered !== false && canRequestResume
+  let isResumable = progress.position.isNumbered !== false && canRequestResume
   for (let resumes = resumesWithoutProgress; !scope.signal.aborted; resumes += 1) {
     const plan = planner.plan(cut, { isResumable, resumes })
     if (plan.kind !== 'resume' || !await scope.wait(plan.delayMs)) return undefined
--- a/src/services/forwarding/_lib/createRequestHandler.ts
+++ b/src/services/forwarding/_lib/createRequestHandler.ts
@@ -14,7 +14,7 @@
 import { describeSend } from './describeSend.js'
 import { formatInstanceKey } from '../../../decisions/formatInstanceKey/index.js'
 import { isFailoverDue } from '../../../decisions/isFailoverDue/index.js'
-import { selectTarget } from '../../../decisions/selectTarget/index.js'
+import { selectRouteTarget } from '../../../decisions/selectRouteTarget/index.js'
 import type {
   CallerSink, ExchangeFailure, GatewayAccount, GatewayRefusal, GatewayRequest, GatewayRoute, InstanceAnswer, LogFields
 } from '../../../types/index.js'
@@ -275,7 +275,7 @@
       if (isDone) return
       route = to
       account = owner
-      service = selectTarget(to.targets, random.next()).service
+      service = selectRouteTarget(to.targets, random.next()).service
       if (!context.shutdownGate.passes(to, request, computeMaximumMs(to))) return refuse(SHUTTING_DOWN)
       // The body may have arrived while the request waited for its route.
       send()
--- a/src/services/forwarding/_lib/createRetryWindows.ts
+++ b/src/services/forwarding/_lib/createRetryWindows.ts
@@ -1,6 +1,6 @@
 /** Limits retries to this node's share of the fleet's retry budget, for each service separately. */
 import { grantRetry } from '../../../decisions/grantRetry/index.js'
-import { noteSend } from '../../../decisions/noteSend/index.js'
+import { recordSend } from '../../../decisions/recordSend/index.js'
 import type { RetryWindow, RetryWindowLimits } from '../../../decisions/grantRetry/index.js'
 import type { Clock } from '../../../types/index.js'
 
@@ -17,7 +17,7 @@
 export const createRetryWindows = (readLimits: () => RetryWindowLimits, countNodes: () => number, clock: Clock): RetryWindows => {
   const windows = new Map<string, RetryWindow>()
   const read = (service: string): RetryWindow => windows.get(service) ?? EMPTY
-  const updateWindow = (service: string, kind: 'first' | 'repeat'): void => { windows.set(service, noteSend(read(service), kind, readLimits(), clock.now())) }
+  const updateWindow = (service: string, kind: 'first' | 'repeat'): void => { windows.set(service, recordSend(read(service), kind, readLimits(), clock.now())) }
   const canRetry = (service: string): boolean => grantRetry(read(service), readLimits(), countNodes(), clock.now())
   return {
     recordFirstSend: (service) => updateWindow(service, 'first'),
--- a/src/services/forwarding/_lib/selectInstance.ts
+++ b/src/services/forwarding/_lib/selectInstance.ts
@@ -1,9 +1,9 @@
 /** Selects the backend server for the next attempt of a request: gathers the state of the node and calls `placeRequest`. */
-import { computeLoadBound, defaultPlacementWeights, placeRequest } from '../../../decisions/placeRequest/index.js'
-import type { InstanceCandidate, PlacementWeights, PromptKeeper } from '../../../decisions/placeRequest/index.js'
+import { computeLoadBound, defaultPlacementWeights, selectPlacement } from '../../../decisions/selectPlacement/index.js'
+import type { InstanceCandidate, PlacementWeights, PromptCopySource } from '../../../decisions/selectPlacement/index.js'
 import { checkInstanceEligibility } from '../../../decisions/checkInstanceEligibility/index.js'
 import type { InstanceEligibility } from '../../../decisions/checkInstanceEligibility/index.js'
-import { selectVerdict } from '../../../decisions/selectVerdict/index.js'
+import { selectIneligibility } from '../../../decisions/selectIneligibility/index.js'
 import type { BackendInstance, GatewayRequest } from '../../../types/index.js'
 import { formatInstanceKey } from '../../../decisions/formatInstanceKey/index.js'
 import type { ForwardingDependencies } from '../index.js'
@@ -43,7 +43,7 @@
 
 /** Why no backend server is eligible for the request; `undefined` where all of them were tried. */
 export const findIneligibility = (dependencies: SelectionDependencies, input: SelectionInput): InstanceEligibility | undefined =>
-  selectVerdict(listUntried(dependencies, input).map((instance) => evaluate(dependencies, input, instance)))
+  selectIneligibility(listUntried(dependencies, input).map((instance) => evaluate(dependencies, input, instance)))
 
 /** Suspended servers are used only when no other is left: a server that probably fails is better than a refusal. */
 const listUsable = (dependencies: SelectionDependencies, input: SelectionInput): readonly BackendInstance[] => {
@@ -97,13 +97,13 @@
  * prefix copied from them need not be computed again. Excludes regions where the request
  * may not be served.
  */
-const listPrefixCaches = (dependencies: SelectionDependencies, input: SelectionInput, cachedTokensByKey: ReadonlyMap<string, number>): readonly PromptKeeper[] => {
+const listPrefixCaches = (dependencies: SelectionDependencies, input: SelectionInput, cachedTokensByKey: ReadonlyMap<string, number>): readonly PromptCopySource[] => {
   if (cachedTokensByKey.size === 0) return []
   const { registry, health } = dependencies
   return [...registry.all(), ...registry.recentlyRemoved()]
     .filter((instance) => instance.service === input.service && cachedTokensByKey.has(formatInstanceKey(instance)) && !health.isSuspended(instance))
     .filter((instance) => evaluate(dependencies, input, instance) !== 'regionNotAllowed')
-    .map((instance) => ({ id: instance.id, availabilityZone: instance.availabilityZone, keptTokens: cachedTokensByKey.get(formatInstanceKey(instance)) ?? 0 }))
+    .map((instance) => ({ id: instance.id, availabilityZone: instance.availabilityZone, cachedPromptTokens: cachedTokensByKey.get(formatInstanceKey(instance)) ?? 0 }))
 }
 
 /** Returns the selected server, or `undefined` when the service has no eligible one that was not tried. */
@@ -119,13 +119,13 @@
     id: instance.id,
     slots: instance.slots,
     load: loadView.estimateInFlight(formatInstanceKey(instance)),
-    keptTokens: cachedTokensByKey.get(formatInstanceKey(instance)) ?? 0,
+    cachedPromptTokens: cachedTokensByKey.get(formatInstanceKey(instance)) ?? 0,
     availabilityZone: instance.availabilityZone,
     slowness: costOf(instance)
   }))
   const meanLoad = computeMeanLoad(dependencies, input.service)
   const weights = { ...defaultPlacementWeights, boundFactor: LOAD_FACTOR_SHARE * dependencies.readLoadFactor() }
-  const placement = placeRequest({
+  const placement = selectPlacement({
     affinityKey: shared.at(-1)?.id ?? '',
     sharedTokens: shared.reduce((sum, part) => sum + part.tokens, 0),
     expectedBytes: bodyBytes + (request.promptParts.length > 0 ? BYTES_PER_TOKEN * request.tokens.output : PLAIN_ANSWER_BYTES),
--- a/src/services/forwarding/index.ts
+++ b/src/services/forwarding/index.ts
@@ -13,8 +13,8 @@
 import { findAccount } from './_lib/findAccount.js'
 import type { RetryWindowLimits } from '../../decisions/grantRetry/index.js'
 import { indexRoutes } from '../../decisions/indexRoutes/index.js'
-import { orderHeld } from '../../decisions/orderHeld/index.js'
-import type { HeldRequest } from '../../decisions/orderHeld/index.js'
+import { orderDeferredRequests } from '../../decisions/orderDeferredRequests/index.js'
+import type { DeferredRequest } from '../../decisions/orderDeferredRequests/index.js'
 import { selectGatewayRoute } from '../../decisions/selectGatewayRoute/index.js'
 import type { RunningService } from '../../kernel/index.js'
 import type {
@@ -147,20 +147,20 @@
   }
 
   /** Input of the order in which deferred requests are sent. A request without a route gets a target of 0: it is refused whenever its turn comes. */
-  const toOrderInput = ({ request, admitNow }: PendingRequest): HeldRequest & Pick<PendingRequest, 'admitNow'> => {
+  const toOrderInput = ({ request, admitNow }: PendingRequest): DeferredRequest & Pick<PendingRequest, 'admitNow'> => {
     const route = selectGatewayRoute(readIndex(), request.host, request.target)
     const ageMs = clock.now() - request.receivedAt
     return {
       admitNow,
-      goalLeftMs: (route?.latencyTargetMs ?? 0) - ageMs,
-      deadlineLeftMs: Math.min(request.callerTimeoutMs ?? Infinity, route?.timeoutMs ?? Infinity) - ageMs,
+      timeToTargetMs: (route?.latencyTargetMs ?? 0) - ageMs,
+      timeToDeadlineMs: Math.min(request.callerTimeoutMs ?? Infinity, route?.timeoutMs ?? Infinity) - ageMs,
       priority: route?.priority ?? Infinity
     }
   }
 
   const admitDeferred = (): void => {
     if (!hasInitialState()) return
-    for (const { admitNow } of orderHeld([...pendingRequests.values()].map(toOrderInput))) admitNow()
+    for (const { admitNow } of orderDeferredRequests([...pendingRequests.values()].map(toOrderInput))) admitNow()
   }
 
   configuration.onChange(admitDeferred)
--- a/src/services/gatewayConfiguration/index.ts
+++ b/src/services/gatewayConfiguration/index.ts
@@ -6,8 +6,8 @@
  */
 import { createConfigurationHistory } from './_lib/createConfigurationHistory.js'
 import { describeSourceError } from '../../decisions/describeSourceError/index.js'
-import { paceSourceReads } from '../../decisions/paceSourceReads/index.js'
-import type { SourceReadPace } from '../../decisions/paceSourceReads/index.js'
+import { planSourceRead } from '../../decisions/planSourceRead/index.js'
+import type { SourceReadPlan } from '../../decisions/planSourceRead/index.js'
 import { unpackRecords } from './_lib/packRecords.js'
 import { measureAge } from '../../decisions/measureAge/index.js'
 import { patchRecords } from '../../decisions/patchRecords/index.js'
@@ -142,7 +142,7 @@
     schedule(result.ok && !isBehind ? options.readIntervalMs : pace().retryAfterMs)
   }
 
-  const pace = (): SourceReadPace => paceSourceReads({
+  const pace = (): SourceReadPlan => planSourceRead({
     isReader: options.isReader?.() !== false,
     ageMs: confirmedAgeMs(),
     relianceMs: options.relianceMs ?? 0,
@@ -155,7 +155,7 @@
   }
 
   const tick = (): void => {
-    const { isRelying, lookAfterMs } = pace()
+    const { isRelyingOnReaders: isRelying, recheckAfterMs: lookAfterMs } = pace()
     if (isRelying) schedule(lookAfterMs)
     else read()
   }
@@ -212,7 +212,7 @@
     recordPeerVersion: (known) => {
       if (known <= version()) return
       highestPeerVersion = Math.max(highestPeerVersion, known)
-      if (isReachable === true && !pace().isRelying) read()
+      if (isReachable === true && !pace().isRelyingOnReaders) read()
       else requestFromPeers()
     },
     onPeersNeeded: (listener) => { peersNeededListeners.push(listener) },
--- a/src/services/knowledgeExchange/index.ts
+++ b/src/services/knowledgeExchange/index.ts
@@ -7,8 +7,8 @@
  * the reply to a request of this node, because a one-way message may have been
  * delayed.
  */
-import { selectReaders } from '../../decisions/selectReaders/index.js'
-import type { Readers } from '../../decisions/selectReaders/index.js'
+import { selectPlatformReaders } from '../../decisions/selectPlatformReaders/index.js'
+import type { PlatformReaders } from '../../decisions/selectPlatformReaders/index.js'
 import { readClocks } from '../../decisions/readClocks/index.js'
 import type { Clocks } from '../../decisions/measureAge/index.js'
 import type { RunningService } from '../../kernel/index.js'
@@ -75,7 +75,7 @@
   let isVersionQueryScheduled = false
   let timer: Timer | undefined
 
-  const findReaders = (): Readers => selectReaders(membership.self().availabilityZone, membership.members())
+  const findReaders = (): PlatformReaders => selectPlatformReaders(membership.self().availabilityZone, membership.members())
 
   const isSelf = ({ nodeId }: Pick<Member, 'nodeId'>): boolean => nodeId === membership.self().nodeId
 
@@ -117,7 +117,7 @@
 
   const queryReader = (): void => {
     timer = clock.setTimer(options.queryIntervalMs, queryReader)
-    const { own, asked } = findReaders()
+    const { own, queried: asked } = findReaders()
     if (asked.length === 0 || own.some(isSelf)) return
     turn += 1
     const reader = asked[turn % asked.length]
--- a/src/services/membership/index.ts
+++ b/src/services/membership/index.ts
@@ -7,7 +7,7 @@
 import { createGossipQueue } from './_lib/createGossipQueue.js'
 import { createFailureDetector } from './_lib/createFailureDetector.js'
 import { mergeMember } from '../../decisions/mergeMember/index.js'
-import { refuteRumour } from '../../decisions/refuteRumour/index.js'
+import { refuteSuspicion } from '../../decisions/refuteSuspicion/index.js'
 import { selectHeartbeatTargets } from '../../decisions/selectHeartbeatTargets/index.js'
 import type { HeartbeatFanOut } from '../../decisions/selectHeartbeatTargets/index.js'
 import type { RunningService } from '../../kernel/index.js'
@@ -117,7 +117,7 @@
   }
 
   const mergeOwnRecord = (reported: Member): void => {
-    const refuted = refuteRumour(self(), reported)
+    const refuted = refuteSuspicion(self(), reported)
     if (refuted === ownRecord) return
     ownRecord = refuted
     logger?.warn('refuted a rumour about this node', { state: reported.state, incarnation: refuted.incarnation })
@@ -230,7 +230,7 @@
     const targets = selectHeartbeatTargets(self(), listReachablePeers(), fanOut, random.next)
     failureDetector.watch(targets.watched.map((peer) => peer.nodeId), clock.now())
     const updates = gossipQueue.take(peers, random.next)
-    for (const receiver of [...targets.watchers, ...targets.picked]) sendTo(receiver, updates)
+    for (const receiver of [...targets.watchers, ...targets.randomPeers]) sendTo(receiver, updates)
   }
 
   const tick = (): void => {
--- a/src/services/warmUpLimiter/index.ts
+++ b/src/services/warmUpLimiter/index.ts
@@ -6,7 +6,7 @@
  */
 import { formatInstanceKey } from '../../decisions/formatInstanceKey/index.js'
 import { rankMembers } from '../../decisions/rankMembers/index.js'
-import { shareWarmUp } from '../../decisions/shareWarmUp/index.js'
+import { computeWarmUpShares } from '../../decisions/computeWarmUpShares/index.js'
 import type { RunningService } from '../../kernel/index.js'
 import type { BackendInstance, Clock, GatewayConfigurationHolder, GatewayService, InstanceRegistry, Membership, ZoneDrains } from '../../types/index.js'
 
@@ -102,7 +102,7 @@
       isLimitReached: (instance) => {
         const warmUp = findWarmUp(instance)
         if (warmUp === undefined || remainingMs(instance) <= 0) return false
-        const { nodes, requestsEach } = shareWarmUp({ ...options, requestsPerSecond: warmUp.requestsPerSecond })
+        const { nodes, requestsPerNode: requestsEach } = computeWarmUpShares({ ...options, requestsPerSecond: warmUp.requestsPerSecond })
         const key = formatInstanceKey(instance)
         if (nodes === 0 || !isSettled() || !isResponsible(key, nodes)) return true
         return listSends(key).length >= requestsEach
