--- a/src/decisions/normalizePath/index.ts
+++ b/src/decisions/normalizePath/index.ts
@@ -30,11 +30,11 @@
 const findFault = (path: string, query: string): string | undefined => {
   if (!path.startsWith('/')) return 'the target must be a path that starts with a slash'
   if (path.length + query.length > MAXIMUM_PATH_LENGTH) return 'the path is too long'
-  if (!PRINTABLE_ASCII.test(path) || !PRINTABLE_ASCII.test(query)) return 'the path contains a character that must be percent-encoded'
-  if (path.includes('#') || query.includes('#')) return 'the path contains a fragment'
-  if (!VALID_PERCENT.test(path)) return 'the path contains a malformed percent-encoding'
-  if (path.includes('\\') || path.includes(';') || ENCODED_DELIMITER.test(path)) return 'the path contains a delimiter that servers interpret differently'
-  if (path.includes('//')) return 'the path contains an empty segment'
+  if (!PRINTABLE_ASCII.test(path) || !PRINTABLE_ASCII.test(query)) return 'the path holds a character that must be encoded'
+  if (path.includes('#') || query.includes('#')) return 'the path holds a fragment'
+  if (!VALID_PERCENT.test(path)) return 'the path holds a malformed percent code'
+  if (path.includes('\\') || path.includes(';') || ENCODED_DELIMITER.test(path)) return 'the path holds a delimiter that servers read differently'
+  if (path.includes('//')) return 'the path holds an empty segment'
   return undefined
 }
 
@@ -61,6 +61,6 @@
   const fault = findFault(rawPath, query)
   if (fault !== undefined) return failure(fault)
   const path = decodeUnreserved(rawPath)
-  if (hasDotSegment(path)) return failure('the path contains a dot segment')
+  if (hasDotSegment(path)) return failure('the path holds a dot segment')
   return success({ path, query })
 }
