--- a/src/adapters/backendHttp/_lib/createBodyQueue.ts
+++ b/src/adapters/backendHttp/_lib/createBodyQueue.ts
@@ -1,7 +1,7 @@
 /**
- * The body of one answer between the connection that fills it and the reader
- * that empties it. Above its high-water mark the connection is paused, so a
- * slow caller slows the backend server down instead of filling memory.
+ * Queues the body of one answer between the connection that fills it and the
+ * reader that empties it. Above the high-water mark the connection is paused, so
+ * that a slow caller slows the backend server down instead of filling memory.
  */
 import type { BackendBodyPart } from '../../../types/index.js'
 
@@ -19,7 +19,7 @@
 export type BodyFlow = {
   readonly pause: () => void
   readonly resume: () => void
-  /** The reader left before the last part. */
+  /** Called when the reader stops before the last part. */
   readonly abandon: () => void
 }
 
--- a/src/adapters/backendHttp/_lib/createExchange.ts
+++ b/src/adapters/backendHttp/_lib/createExchange.ts
@@ -1,7 +1,7 @@
 /**
- * One request and its answer on a pooled connection, as a handler of undici's
- * dispatch. It notes the one fact that decides "not run": whether the request
- * was handed to a connected socket before it failed.
+ * One request and its answer on a pooled connection, as a handler for undici's
+ * `dispatch`. It records whether the request was handed to a connected socket
+ * before it failed: only one that was not is certain not to have run.
  */
 import type { IncomingHttpHeaders } from 'node:http'
 import { errors, type Dispatcher } from 'undici'
@@ -30,9 +30,9 @@
 }
 
 /**
- * Guards against a truncated answer that looks whole: a body that only the
- * close of its connection ends looks alike when the server died. Without a
- * declared length or chunks, its end proves nothing.
+ * Returns whether a truncated body can be told from a complete one. A body that
+ * is ended only by the close of its connection looks the same when the server
+ * has crashed, so this takes a declared length or chunks.
  */
 const hasProvableEnd = (method: string, status: number, headers: Headers): boolean =>
   method === 'HEAD' ||
@@ -41,8 +41,10 @@
   (headers['transfer-encoding'] ?? '').toLowerCase().includes('chunked')
 
 /**
- * @param method - Of the request; an answer to HEAD has no body.
- * @param onEnd - Runs once, when nothing more can come of the exchange.
+ * Creates the handler of one request.
+ *
+ * @param method - Method of the request; an answer to HEAD has no body.
+ * @param onEnd - Called once, when the exchange has ended.
  */
 export const createExchange = (method: string, onEnd: () => void): Exchange => {
   let controller: Dispatcher.DispatchController | undefined
@@ -72,7 +74,7 @@
   const queue = createBodyQueue({
     pause: () => controller?.pause(),
     resume: () => controller?.resume(),
-    abandon: () => abort(new Error('the reader left the answer'))
+    abandon: () => abort(new Error('the reader stopped reading the answer'))
   })
 
   /**
--- a/src/adapters/backendHttp/index.ts
+++ b/src/adapters/backendHttp/index.ts
@@ -1,6 +1,6 @@
 /**
- * Requests to backend servers over pooled HTTP/1.1 connections. Nothing is
- * retried here: every failure is reported as exactly what is known of it, and
+ * Sends requests to backend servers over pooled HTTP/1.1 connections. Nothing is
+ * retried here: each failure is reported with exactly what is known about it, and
  * `planRetry` decides.
  */
 import { Agent } from 'undici'
@@ -12,14 +12,14 @@
 
 export type BackendHttpOptions = {
   readonly connectTimeoutMs: number
-  /** Longest silence in the middle of an answer, in milliseconds. */
+  /** Maximum time without data in the middle of an answer, in milliseconds. */
   readonly answerIdleTimeoutMs: number
-  /** Connections to one origin; requests over it wait for a free one. 1,024 by default. */
+  /** Maximum number of connections to one origin; further requests wait for a free one. 1,024 by default. */
   readonly maximumConnections?: number
 }
 
 const DEFAULT_MAXIMUM_CONNECTIONS = 1_024
-/** Short, so that few requests meet a socket that the server has just closed. */
+/** Short, so that few requests are sent on a connection that the server has just closed. */
 const KEEP_ALIVE_TIMEOUT_MS = 4_000
 const MAXIMUM_HEADER_BYTES = 32_768
 const MAXIMUM_LOAD_REPORT_BYTES = 65_536
@@ -57,11 +57,12 @@
 /**
  * Creates the client for backend servers.
  *
- * Each origin has its own pool, dropped with its last connection. A connection carries one request at a time, so
- * an answer cannot be matched with the request before it; the request id that
- * the backend server echoes is checked on top, by the caller of `send`.
+ * Each origin has its own pool, dropped with its last connection. A connection
+ * carries one request at a time, so an answer can't be matched with an earlier
+ * request; the caller of `send` also checks the request id that the backend
+ * server echoes.
  *
- * @param options - Time-outs in milliseconds and the connection bound.
+ * @param options - Timeouts in milliseconds and the maximum number of connections.
  * @returns A `BackendClient`; `close` drops its connections.
  *
  * @example
@@ -107,7 +108,7 @@
   const readLoad: BackendClient['readLoad'] = async (url, timeoutMs) => {
     const request = { requestId: 'load', url, method: 'GET', path: '/load', headers: {}, body: new Uint8Array(), timeoutMs }
     const result = await send(request, AbortSignal.timeout(timeoutMs))
-    // The time-out here is the client's own: to the reader of the load, a server that does not answer.
+    // Cancelled by the timeout above, not by a caller: for the reader of the load, the server did not answer.
     if (!result.ok) return result.error.kind === 'cancelled' ? failure({ kind: 'noAnswer', message: 'no load report in time' }) : result
     const text = await readText(result.value, MAXIMUM_LOAD_REPORT_BYTES)
     const report = result.value.status === 200 && text !== undefined ? parseLoadReport(text) : undefined
--- a/src/adapters/backendHttp/test.ts
+++ b/src/adapters/backendHttp/test.ts
@@ -72,9 +72,9 @@
   })
 
   it.each<[string, RawStep, string]>([
-    ['whole', answerWhole('{"a":1}'), '{"a":1}|end'],
+    ['complete', answerWhole('{"a":1}'), '{"a":1}|end'],
     ['empty', answerWhole('', {}, 204), '|end'],
-    ['whole after an interim answer', (socket, request) => {
+    ['complete after an interim answer', (socket, request) => {
       socket.write('HTTP/1.1 103 Early Hints\r\n\r\n')
       answerWhole('{}')(socket, request)
     }, '{}|end'],
@@ -90,11 +90,11 @@
   })
 
   /*
-   * A settlement is refused as "not run", is entered again, and is charged
-   * twice: it went out on a kept-alive connection that the server was closing,
-   * and the error came from the socket although the server had read it.
+   * Guards against running a request twice. It is sent on a keep-alive connection
+   * that the server is closing, and the socket reports an error although the
+   * server has read it. The caller is told that it did not run, and sends it again.
    */
-  it('never says "not sent" of a request that the backend server has read', async () => {
+  it('never reports a request as not sent that the backend server has read', async () => {
     const closeAfter: RawStep = (socket, request) => {
       answerWhole('{}')(socket, request)
       socket.destroySoon()
@@ -110,7 +110,7 @@
     expect(backend.requests.length + unsent).toBeLessThanOrEqual(50)
   })
 
-  it('drops the connection of an answer that is not wanted', async () => {
+  it('closes the connection of an answer that is aborted', async () => {
     let isClosed = false
     const backend = await startBackend((socket, request) => {
       socket.on('close', () => { isClosed = true })
@@ -125,8 +125,8 @@
 })
 
 describe('readLoad', () => {
-  // A frozen server went on getting work: its probes ended as cancelled, which counts as no news.
-  it('reports a server that does not answer in time as such', async () => {
+  // Guards against sending requests to a frozen server: a load probe that ends as cancelled doesn't count as a failure.
+  it('reports a server that does not answer in time', async () => {
     const backend = await startBackend(stayedSilent)
     expect(await startClient().readLoad(backend.url, 50)).toMatchObject({ ok: false, error: { kind: 'noAnswer' } })
   })
--- a/src/adapters/boundedLogger/index.ts
+++ b/src/adapters/boundedLogger/index.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the log's volume bounded: each event has its lines a second, and what
- * is over is counted in a line of its own. A service that fails for everybody
- * would otherwise spend its processor time on saying so.
+ * Bounds the volume of the log: each event has a maximum number of lines per
+ * second, and the lines above it are counted in a line of their own. Otherwise
+ * a failure of all requests would use up the processor time for logging.
  */
 import { gatewayEvents } from '../../types/gatewayEvents.js'
 import type { EventDescription } from '../../types/gatewayEvents.js'
@@ -14,15 +14,15 @@
 }
 
 const WINDOW_MS = 1_000
-/** For an event without a description; it is a slip that a test finds. */
+/** Lines per second for an event without a description, which a test reports as an error. */
 const DEFAULT_LINES = 50
 
 const findLines = (event: string): number => (gatewayEvents as Readonly<Record<string, EventDescription>>)[event]?.linesPerSecond ?? DEFAULT_LINES
 
 /**
- * Bounds a logger.
+ * Creates a logger with bounded volume.
  *
- * @param dependencies - Clock, the logger behind it, and the metrics that count what is left out.
+ * @param dependencies - Clock, the logger that writes the lines, and the metrics that count the lines left out.
  * @returns A logger with the same levels.
  *
  * @example
--- a/src/adapters/boundedLogger/test.ts
+++ b/src/adapters/boundedLogger/test.ts
@@ -15,20 +15,20 @@
 const repeat = (count: number, action: () => void): void => { for (let index = 0; index < count; index++) action() }
 
 describe('createBoundedLogger', () => {
-  test('writes an event up to its lines a second', () => {
+  test('writes at most the lines per second of an event', () => {
     const { lines, bounded } = createRecord()
     repeat(1_000, () => bounded.info('request sent'))
     expect(lines).toHaveLength(gatewayEvents['request sent'].linesPerSecond)
   })
 
-  test('keeps failures when successes are left out', () => {
+  test('writes failures while lines of successes are left out', () => {
     const { lines, bounded } = createRecord()
     repeat(1_000, () => bounded.info('request complete'))
     bounded.info('request ended')
     expect(lines.at(-1)?.event).toBe('request ended')
   })
 
-  test('says in the next second how many were left out', () => {
+  test('reports in the next second how many lines were left out', () => {
     const { lines, clock, bounded } = createRecord()
     const lineCount = gatewayEvents['request sent'].linesPerSecond
     repeat(lineCount + 7, () => bounded.info('request sent'))
--- a/src/adapters/boundedOutput/index.ts
+++ b/src/adapters/boundedOutput/index.ts
@@ -1,7 +1,8 @@
 /**
- * A stream for log lines that never blocks its process: writes to a pipe from
- * the loop's thread wait for the reader, so lines go out by asynchronous writes,
- * one at a time, and a reader that falls behind costs lines, not requests.
+ * A stream for log lines that never blocks the process. A synchronous write to a
+ * pipe blocks the event loop until the reader reads, so lines are written
+ * asynchronously, one write at a time. When the reader falls behind, lines are
+ * dropped instead of requests being delayed.
  */
 import { write } from 'node:fs'
 import { Writable } from 'node:stream'
@@ -9,28 +10,28 @@
 export type BoundedOutputOptions = {
   /** Where the lines go; standard output by default. */
   readonly descriptor?: number
-  /** Bytes that wait at most while a write is under way. */
+  /** Maximum number of bytes that are queued while a write is in progress. */
   readonly maximumBytes?: number
   /**
-   * Lines of so many milliseconds go out together; 0 by default, for those of one turn of the loop. Each
-   * write takes the loop and a worker thread some ten system calls; a killed process loses what waits.
+   * Lines of this many milliseconds are written together; 0 by default, for those of one turn of the event loop.
+   * Each write costs about ten system calls of the event loop and a worker thread; a killed process loses queued lines.
    */
   readonly gatherMs?: number
-  /** Told how many lines were dropped since it was told last, once a write is through. */
+  /** Called after a write with the number of lines dropped since the last call. */
   readonly onDropped?: (lines: number) => void
 }
 
 const STANDARD_OUTPUT = 1
-/** About a second of lines at worst load. */
+/** About one second of lines at maximum load. */
 const DEFAULT_MAXIMUM_BYTES = 256 * 1024
-/** A pipe that is full takes nothing: try again after so many milliseconds. */
+/** Delay before a write to a full pipe is retried. */
 const FULL_PAUSE_MS = 20
 
 /**
  * Creates the stream.
  *
  * @param options - Descriptor and the bound in bytes.
- * @returns A writable stream that takes every line at once, and drops what is over the bound.
+ * @returns A writable stream that accepts every line immediately, and drops lines above the bound.
  *
  * @example
  * createBoundedOutput().write('{"message":"started"}\n')
--- a/src/adapters/boundedOutput/test.ts
+++ b/src/adapters/boundedOutput/test.ts
@@ -9,13 +9,13 @@
 const folders: string[] = []
 const descriptors: number[] = []
 
-// Closed only at the end: a number that is used again would get a late write of the test before.
+// Closed only at the end: a reused descriptor number could receive a late write of an earlier test.
 afterAll(() => {
   for (const descriptor of descriptors) closeSync(descriptor)
   for (const folder of folders) rmSync(folder, { recursive: true })
 })
 
-/** A pipe with a name; both ends are opened here, so nothing reads until the test does. */
+/** Creates a named pipe and opens both ends, so that nothing reads from it until the test does. */
 const createPipe = (): number => {
   const folder = mkdtempSync(join(tmpdir(), 'dotterelspoke-output-'))
   folders.push(folder)
@@ -31,8 +31,8 @@
 const LINES = 200
 
 describe('createBoundedOutput', () => {
-  // A process that waits for a stuck log reader would leave its callers without answers.
-  test('takes lines at once while nobody reads, and counts what it drops', async () => {
+  // Guards against a process that blocks on a stuck log reader and leaves its callers without answers.
+  test('accepts lines immediately while nothing reads them, and counts the dropped ones', async () => {
     const descriptor = createPipe()
     let dropped = 0
     const output = createBoundedOutput({ descriptor, maximumBytes: 1_000, onDropped: (lines) => { dropped += lines } })
@@ -51,7 +51,7 @@
     expect(dropped).toBeGreaterThan(0)
   })
 
-  test('writes lines in their order', async () => {
+  test('writes lines in order', async () => {
     const descriptor = createPipe()
     const output = createBoundedOutput({ descriptor })
     for (let index = 0; index < 100; index++) output.write(`${index}\n`)
--- a/src/adapters/callerHttp/_lib/createBodyBudget.ts
+++ b/src/adapters/callerHttp/_lib/createBodyBudget.ts
@@ -1,8 +1,8 @@
 /**
- * Guards against many large bodies at once: each is within its limit, but
- * together they would take more memory than a small VM has. Room for a body is
- * taken before the first byte of it is read, and a request that finds none is
- * refused at once.
+ * Limits the memory for the bodies of all open requests: each body is within its
+ * own limit, but together they could take more memory than a small VM has. The
+ * bytes of a body are reserved before its first byte is read, and a request that
+ * exceeds the budget is refused at once.
  */
 
 export type BodyBudget = {
--- a/src/adapters/callerHttp/_lib/readCallerRequest.ts
+++ b/src/adapters/callerHttp/_lib/readCallerRequest.ts
@@ -1,4 +1,4 @@
-/** Turns an HTTP request into the router's own description of it. */
+/** Converts an HTTP request to the router's `CallerRequest`. */
 import type { IncomingMessage } from 'node:http'
 import type { CallerRequest, Headers } from '../../../types/index.js'
 
--- a/src/adapters/callerHttp/_lib/writeAnswer.ts
+++ b/src/adapters/callerHttp/_lib/writeAnswer.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the final answer of a request to its caller: whole, as a stream, or
- * as a refusal.
+ * Writes the final answer of a request to its caller: a complete answer, a
+ * stream or a refusal.
  */
 import type { ServerResponse } from 'node:http'
 import type { AnswerPart, CallerAnswer, Clock, Headers, Refusal } from '../../../types/index.js'
@@ -9,7 +9,7 @@
   readonly response: ServerResponse
   readonly requestId: string
   readonly clock: Clock
-  /** Longest wait for a caller that reads nothing, in milliseconds. */
+  /** Maximum wait for a caller that doesn't read, in milliseconds. */
   readonly writeTimeoutMs: number
 }
 
@@ -29,7 +29,7 @@
   }
 })
 
-/** Client libraries repeat a failed request by its status alone, unless `x-should-retry` forbids it. */
+/** Client libraries retry a failed request because of its status alone, unless `x-should-retry` forbids it. */
 const describeReturn = (refusal: Refusal): Headers => {
   if (refusal.retryAfterMs === undefined) return { 'x-should-retry': 'false' }
   const milliseconds = Math.max(0, Math.ceil(refusal.retryAfterMs))
@@ -55,7 +55,7 @@
   response.end(body)
 }
 
-/** Resolves false when the caller is gone or reads nothing for too long. */
+/** Resolves with `false` when the caller has disconnected or doesn't read for too long. */
 const waitForDrain = (writer: AnswerWriter): Promise<boolean> => new Promise((resolve) => {
   const { response, clock, writeTimeoutMs } = writer
   const settle = (isDrained: boolean): void => {
@@ -78,10 +78,10 @@
 }
 
 /**
- * Guards against a stream that broke off and looks whole. Ending the response
+ * Ends a failed stream so that it doesn't look complete. Ending the response
  * would send the last chunk of a well-formed body, which client libraries take
- * for its end; only a destroyed socket shows as an error. The error event goes
- * out first, for callers that read events.
+ * for its end; they report an error only for a destroyed socket. The error event
+ * is sent first, for callers that read events.
  */
 const breakOff = async (writer: AnswerWriter, refusal: Refusal): Promise<void> => {
   const { response } = writer
--- a/src/adapters/callerHttp/index.ts
+++ b/src/adapters/callerHttp/index.ts
@@ -1,6 +1,6 @@
 /**
- * The listener for callers. It bounds what a connection may send and how long
- * it may take, hands each request to dispatch, and writes the final answer.
+ * HTTP listener for callers. It limits the size and duration of requests,
+ * passes each request to dispatch, and writes the final answer.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -29,11 +29,11 @@
   readonly headerTimeoutMs?: number
   /** Time for a caller to send the whole request, in milliseconds; 60,000 by default. */
   readonly requestTimeoutMs?: number
-  /** Longest wait for a caller that does not read its answer, in milliseconds; 30,000 by default. */
+  /** Maximum wait for a caller that does not read its answer, in milliseconds; 30,000 by default. */
   readonly writeTimeoutMs?: number
-  /** How long an unused connection stays open, in milliseconds; 75,000 by default, longer than a balancer keeps one. */
+  /** How long an idle connection stays open, in milliseconds; 75,000 by default, longer than a load balancer keeps one. */
   readonly idleTimeoutMs?: number
-  /** Bodies of all open requests together; 268,435,456 by default. */
+  /** Bytes of the bodies of all open requests together; 268,435,456 by default. */
   readonly maximumBufferedBytes?: number
   /** Open connections; 10,000 by default. */
   readonly maximumConnections?: number
@@ -41,11 +41,11 @@
 
 export type CallerHttp = {
   readonly listen: () => Promise<PeerAddress>
-  /** Where it listens; `undefined` before `listen`. */
+  /** The address it listens on; `undefined` before `listen`. */
   readonly address: () => PeerAddress | undefined
-  /** What `/readyz` says to a balancer. The listener serves either way. */
+  /** Sets what `/readyz` reports to a load balancer. The listener serves requests either way. */
   readonly setReady: (isReady: boolean) => void
-  /** Takes no new connection, lets requests in flight end, then closes. */
+  /** Stops accepting connections, waits for requests in flight, then closes. */
   readonly close: () => Promise<void>
 }
 
@@ -71,14 +71,14 @@
 const refuse = (reason: 'badRequest' | 'bodyTooLarge', message: string): CallerAnswer =>
   ({ kind: 'refused', refusal: describeRefusal('not-run', reason, message) })
 
-/** What a request may take of the body budget; one of unknown length may take the most. */
+/** Returns the bytes that a request reserves in the body budget: the maximum when the length of its body is unknown. */
 const readBodyBytes = ({ headers }: IncomingMessage, maximumBytes: number): number =>
   headers['transfer-encoding'] === undefined ? Math.min(Number(headers['content-length'] ?? 0), maximumBytes) : maximumBytes
 
 const declaresBody = (message: IncomingMessage): boolean =>
   message.headers['transfer-encoding'] !== undefined || Number(message.headers['content-length'] ?? 0) > 0
 
-/** Aborts when the connection ends before the answer was written to its end. */
+/** Returns a signal that aborts when the connection ends before the answer was written completely. */
 const watchHangUp = (response: ServerResponse): AbortSignal => {
   const controller = new AbortController()
   response.once('close', () => {
@@ -98,8 +98,8 @@
     http: {
       maxHeaderSize: options.maximumHeaderBytes,
       headersTimeout: options.headerTimeoutMs,
-      // Node.js looks for late connections only this often, by default each 30 s:
-      // slow callers would hold their places for so long, whatever the time-outs.
+      // Interval at which Node.js checks connections for exceeded timeouts. With its default
+      // of 30 s, slow callers would occupy connections for that long, whatever the timeouts.
       connectionsCheckingInterval: Math.ceil(Math.min(options.headerTimeoutMs, options.requestTimeoutMs) / CHECKS_PER_TIMEOUT),
       insecureHTTPParser: false
     },
@@ -118,11 +118,11 @@
 /**
  * Creates the HTTP listener for callers.
  *
- * Every path but `/healthz` and `/readyz` goes to dispatch as it came. A caller
- * that hangs up aborts its request. A stream that fails ends with an error
- * event and a destroyed socket, so that it can't be taken for a whole answer.
+ * Every path but `/healthz` and `/readyz` is passed to dispatch unchanged. A
+ * caller that disconnects aborts its request. A stream that fails ends with an
+ * error event and a destroyed socket, so that it doesn't look complete.
  *
- * @param dependencies - Dispatch and what the machine gives.
+ * @param dependencies - Dispatch, clock, random source and logger.
  * @param options - Address, sizes in bytes and times in milliseconds.
  * @returns The listener; it serves after `listen`.
  *
@@ -143,7 +143,7 @@
     try {
       await writeAnswer({ response: reply.raw, requestId, clock, writeTimeoutMs: settings.writeTimeoutMs }, answer)
     } catch (error) {
-      // A header that cannot be written; without this the caller would wait for ever.
+      // The answer has a header that can't be written. Without this the caller would wait forever.
       logger.error('an answer could not be written', { requestId, error: String(error) })
       reply.raw.destroy()
     }
--- a/src/adapters/callerHttp/test.ts
+++ b/src/adapters/callerHttp/test.ts
@@ -38,7 +38,7 @@
   return { callerHttp, url: `http://127.0.0.1:${port}`, port, handled, signals }
 }
 
-/** Sends bytes as they are and gives all that comes back until the connection closes. */
+/** Sends raw bytes and returns everything received until the connection closes. */
 const exchangeRaw = (port: number, text: string): Promise<string> => new Promise((resolve) => {
   let received = ''
   const socket = connect(port, '127.0.0.1', () => { socket.write(text) })
@@ -59,11 +59,11 @@
 
 const formatRequest = (...lines: readonly string[]): string => [...lines, 'Connection: close', '', ''].join('\r\n')
 
-describe('a request that two readers could take differently', () => {
+describe('a request that two parsers could read differently', () => {
   /*
-   * An order is hidden in the body of a stock lookup, so that the next server
-   * on the connection runs it as somebody else's: the two disagree about
-   * where the first request ends. None may get as far as dispatch.
+   * Guards against request smuggling: when two servers disagree about where a
+   * request ends, an order that is hidden in the body of a stock lookup runs
+   * under another caller's account. None of these may reach dispatch.
    */
   it.each([
     ['length and chunks', formatRequest('POST /a HTTP/1.1', 'Host: h', 'Content-Length: 3', 'Transfer-Encoding: chunked') + '0\r\n\r\n'],
@@ -82,13 +82,13 @@
     expect(handled).toEqual([])
   })
 
-  it('has a folded header read as one value or refused, never as two headers', async () => {
+  it('has its folded header read as one value, or is refused, but is never read as two headers', async () => {
     const { port, handled } = await startListener(() => OK)
     await exchangeRaw(port, formatRequest('GET /a HTTP/1.1', 'Host: h', 'X-One: 1', ' X-Client-Account: rival'))
     expect(handled.map(({ headers }) => headers['x-client-account'])).not.toContain('rival')
   })
 
-  it.each(['http://other/orders', '//other/orders', '/a/../orders', '/a/%2e%2e/orders', '/a%2forders', '*'])('reaches dispatch with its target untouched, or not at all: %s', async (target) => {
+  it.each(['http://other/orders', '//other/orders', '/a/../orders', '/a/%2e%2e/orders', '/a%2forders', '*'])('reaches dispatch with its target unchanged, or not at all: %s', async (target) => {
     const { port, handled } = await startListener(() => OK)
     await exchangeRaw(port, formatRequest(`GET ${target} HTTP/1.1`, 'Host: h'))
     expect(handled.every(({ path }) => path === target)).toBe(true)
@@ -96,7 +96,7 @@
 })
 
 describe('the listener for callers', () => {
-  it('hands over method, target, headers, body and key', async () => {
+  it('passes method, target, headers, body and key to dispatch', async () => {
     const { url, handled } = await startListener(() => OK)
     await fetch(`${url}/stock/a?b=c`, { method: 'PUT', body: 'xyz', headers: { authorization: 'Bearer sk-1', 'x-chat-id': '7' } })
     expect(handled[0]).toMatchObject({ method: 'PUT', path: '/stock/a?b=c', credential: 'sk-1', headers: { 'x-chat-id': '7' } })
@@ -109,14 +109,14 @@
     expect([answer.status, answer.headers.get('x-request-outcome'), handled.length]).toEqual([413, 'not-run', 0])
   })
 
-  // Connections that send a header line now and then would hold all places.
-  it('ends a connection whose headers do not come in time', async () => {
+  // Guards against slow connections that send a header line now and then, and so use up all connections.
+  it('closes a connection whose headers are not complete in time', async () => {
     const { port, handled } = await startListener(() => OK, { headerTimeoutMs: 50 })
     const received = await exchangeRaw(port, 'GET /a HTTP/1.1\r\nHost: h\r\n')
     expect([received.slice(0, 12), handled.length]).toEqual(['HTTP/1.1 408', 0])
   })
 
-  it('refuses a body that finds no room, and takes it when there is room again', async () => {
+  it('refuses a body that exceeds the budget, and accepts it when there is room again', async () => {
     let finish: (answer: CallerAnswer) => void = () => {}
     const answers = new Promise<CallerAnswer>((resolve) => { finish = resolve })
     const { url, handled } = await startListener(() => answers, { maximumBufferedBytes: 1_500 })
@@ -135,7 +135,7 @@
     expect(await exchangeRaw(port, formatRequest('GET / HTTP/1.1', 'Host: h'))).toBe('')
   })
 
-  it('writes a refusal with its outcome and when to come back', async () => {
+  it('writes a refusal with its outcome and the time to retry after', async () => {
     const { url } = await startListener(() => ({ kind: 'refused', refusal: REFUSAL }))
     const answer = await fetch(url)
     expect(Object.fromEntries(['x-request-outcome', 'retry-after', 'retry-after-ms', 'x-should-retry'].map((name) => [name, answer.headers.get(name)])))
@@ -148,19 +148,19 @@
     expect((await fetch(url)).headers.getSetCookie()).toEqual(['a=1; Expires=Thu, 01 Jan 2099 00:00:00 GMT', 'b=2'])
   })
 
-  it('passes a stream on to its end', async () => {
+  it('forwards a stream to its end', async () => {
     const { url } = await startListener(() => streamOf(data('data: 1\n\n'), data('data: [DONE]\n\n'), { kind: 'end' }))
     expect(await (await fetch(url)).text()).toBe('data: 1\n\ndata: [DONE]\n\n')
   })
 
-  it('breaks a failed stream off with an error event and without the last chunk', async () => {
+  it('ends a failed stream with an error event and without the last chunk', async () => {
     const { port } = await startListener(() => streamOf(data('data: 1\n\n'), { kind: 'failed', refusal: REFUSAL }))
     const received = await exchangeRaw(port, formatRequest('GET / HTTP/1.1', 'Host: h'))
     expect(received).toContain('data: {"error":{"message":"it failed"')
     expect(received).not.toContain('\r\n0\r\n')
   })
 
-  it('aborts the request of a caller that hangs up', async () => {
+  it('aborts the request of a caller that disconnects', async () => {
     const { port, signals } = await startListener(() => new Promise(() => {}))
     const socket = connect(port, '127.0.0.1', () => { socket.write('GET / HTTP/1.1\r\nHost: h\r\n\r\n') })
     await expect.poll(() => signals.length).toBe(1)
@@ -168,7 +168,7 @@
     await expect.poll(() => signals[0]?.aborted).toBe(true)
   })
 
-  it('drops a caller that never reads its stream', async () => {
+  it('disconnects a caller that never reads its stream', async () => {
     async function * endlessParts (): AsyncGenerator<AnswerPart> {
       for (;;) yield { kind: 'data', bytes: Buffer.alloc(65_536) }
     }
@@ -180,14 +180,14 @@
     socket.destroy()
   })
 
-  it('says when it is ready', async () => {
+  it('reports when it is ready', async () => {
     const { url, callerHttp } = await startListener(() => OK)
     const before = (await fetch(`${url}/readyz`)).status
     callerHttp.setReady(true)
     expect([before, (await fetch(`${url}/readyz`)).status, (await fetch(`${url}/healthz`)).status]).toEqual([503, 200, 200])
   })
 
-  it('lets a request in flight end before it closes', async () => {
+  it('waits for a request in flight before it closes', async () => {
     let finish: (answer: CallerAnswer) => void = () => {}
     const { url, callerHttp, handled } = await startListener(() => new Promise((resolve) => { finish = resolve }))
     const asked = fetch(url)
--- a/src/adapters/countedPlatform/index.ts
+++ b/src/adapters/countedPlatform/index.ts
@@ -1,12 +1,12 @@
 import type { Metrics, Platform, PlatformError, Result } from '../../types/index.js'
 
 /**
- * Counts the calls to the platform by kind and outcome. Its rate is limited and
- * each call counts, a waiting watch as one.
+ * Counts the calls to the platform by kind and outcome. The platform limits the
+ * rate of calls; a waiting watch counts as one call.
  *
  * @param platform - The platform to call.
  * @param metrics - Where the calls are counted.
- * @returns The same platform, counted.
+ * @returns A platform that passes its calls to the given one and counts them.
  *
  * @example
  * const platform = countPlatformCalls(createPlatformHttp({ url, timeoutMs: 1000 }), metrics)
--- a/src/adapters/deferredLogger/index.ts
+++ b/src/adapters/deferredLogger/index.ts
@@ -1,14 +1,14 @@
 /**
- * A logger whose library is loaded after the start: a restarted node on a small
- * VM spends its first processor time on the callers that wait for it. Lines keep the
- * time at which they were written; a process that is killed before takes them along.
+ * A logger whose library is loaded after the start, so that a restarted node on a
+ * small VM spends its first processor time on the callers that wait for it. Buffered
+ * lines keep their timestamps; they are lost when the process is killed before.
  */
 import { createDeferredCalls } from '../../kernel/index.js'
 import type { DeferredCallsOptions } from '../../kernel/index.js'
 import type { LogFields, Logger } from '../../types/index.js'
 
 export type DeferredLogger = Logger & {
-  /** Loads the logger now and resolves when the lines held so far are written. */
+  /** Loads the logger now and resolves when the lines buffered so far are written. */
   readonly open: () => Promise<Logger>
 }
 
@@ -18,7 +18,7 @@
  * Creates the logger.
  *
  * @param options - How and when to load the logger behind it.
- * @returns The logger; its lines are held until then.
+ * @returns The logger; its lines are buffered until then.
  *
  * @example
  * createDeferredLogger({ load, delayMs: 500, clock, onFailure }).info('gateway started')
--- a/src/adapters/deferredLogger/test.ts
+++ b/src/adapters/deferredLogger/test.ts
@@ -18,7 +18,7 @@
 }
 
 describe('createDeferredLogger', () => {
-  test('writes what was held in order, with the time at which it was said', async () => {
+  test('writes buffered lines in order, with their original timestamps', async () => {
     const clock = createManualClock()
     const { lines, stream } = createLines()
     const logger = createDeferredLogger({ load: async () => createWinstonLogger({ level: 'info', fields: { node: 'n' }, stream }), delayMs: DELAY_MS, clock, onFailure: () => {} })
--- a/src/adapters/deferredMetrics/index.ts
+++ b/src/adapters/deferredMetrics/index.ts
@@ -1,6 +1,6 @@
 /**
- * Metrics whose library is loaded after the start, for the same reason as a
- * deferred logger: no caller waits for a counter. Nothing is left out of the counts.
+ * Metrics whose library is loaded after the start, so that a starting node first
+ * answers its callers. Earlier calls are buffered, so that no count is lost.
  */
 import { createDeferredCalls } from '../../kernel/index.js'
 import type { DeferredCalls, DeferredCallsOptions } from '../../kernel/index.js'
@@ -13,7 +13,7 @@
  * Creates the metrics.
  *
  * @param options - How and when to load the metrics behind them.
- * @returns Metrics that hold what is counted until then.
+ * @returns Metrics that buffer all calls until then.
  *
  * @example
  * createDeferredMetrics({ load, delayMs: 500, clock, onFailure }).count('gateway_prompt_copies')
--- a/src/adapters/deferredMetrics/test.ts
+++ b/src/adapters/deferredMetrics/test.ts
@@ -3,7 +3,7 @@
 import { createPromMetrics } from '../promMetrics/index.js'
 import { createManualClock } from '../../emulator/createManualClock/index.js'
 
-test('a scrape finds what was counted before the metrics were loaded', async () => {
+test('a scrape includes what was counted before the library was loaded', async () => {
   const metrics = createDeferredMetrics({ load: async () => createPromMetrics(), delayMs: 500, clock: createManualClock(), onFailure: () => {} })
   metrics.count('gateway_prompt_copies')
   metrics.readGauge('gateway_requests_open', () => [{ value: 7 }])
--- a/src/adapters/earlyListener/index.ts
+++ b/src/adapters/earlyListener/index.ts
@@ -1,24 +1,24 @@
 /**
- * A listener that is open before the program behind it is loaded. Without it
- * each connection to a node that has just been started is refused until the
- * program is there, and a caller that was refused comes back late or not at all.
+ * Opens the callers' listener before the program that serves it is loaded.
+ * Otherwise a starting node would refuse connections until its program is
+ * loaded, and a refused caller retries late or not at all.
  */
 import { createServer } from 'node:net'
 import type { AddressInfo, Server, Socket } from 'node:net'
 import type { PeerAddress } from '../../types/index.js'
 
 export type EarlyListener = {
-  /** Resolves with where it listens; rejects when it can't be opened. */
+  /** Resolves with the address it listens on; rejects when the listener can't be opened. */
   readonly opened: Promise<PeerAddress>
-  /** Serves the listener and the connections that came so far. */
+  /** Passes the listener and the connections accepted so far to `server`, which serves them. */
   readonly handOver: (server: Server) => void
 }
 
-/** Connections that wait in the kernel's queue while the program is loaded: all of a zone's callers may come at once. */
+/** Length of the kernel's queue of connections while the program is loaded: all callers of a zone may connect at once. */
 export const LISTENER_BACKLOG = 1_024
 
 /**
- * Opens a listener; connections wait unread until it is handed over.
+ * Opens a listener; nothing is read from its connections until it is handed over.
  *
  * @param address - Where to listen.
  * @returns The listener.
@@ -38,7 +38,7 @@
     server.once('error', reject)
     server.listen({ host, port, backlog: LISTENER_BACKLOG }, () => resolve({ host, port: (server.address() as AddressInfo).port }))
   })
-  // Told to whoever takes the listener over; a rejection that nobody awaits yet would end the process.
+  // The error is reported to the code that takes the listener over. Until that awaits `opened`, an unhandled rejection would end the process.
   opened.catch(() => {})
   return {
     opened,
--- a/src/adapters/earlyListener/test.ts
+++ b/src/adapters/earlyListener/test.ts
@@ -37,8 +37,8 @@
 const passTurns = (): Promise<void> => new Promise((resolve) => { setTimeout(resolve, 30) })
 
 describe('openEarlyListener', () => {
-  // A caller who connects before the program is loaded would be turned away and come back a second later.
-  test('keeps connections and what they send until it is handed over', async () => {
+  // Guards against refusing callers that connect before the program is loaded: they retry only a second later.
+  test('keeps connections and the bytes they send until the hand-over', async () => {
     const paths: string[] = []
     const early = openEarlyListener(ANYWHERE)
     const address = await early.opened
@@ -50,7 +50,7 @@
     expect(paths).toEqual(['/early', '/late'])
   })
 
-  test('outlives a connection that ends before the hand-over', async () => {
+  test('tolerates a connection that ends before the hand-over', async () => {
     const paths: string[] = []
     const early = openEarlyListener(ANYWHERE)
     const address = await early.opened
@@ -61,7 +61,7 @@
     expect(await send(await dial(address), '/next')).toBe('HTTP/1.1 200 OK')
   })
 
-  test('tells that its port is taken', async () => {
+  test('rejects when its port is taken', async () => {
     const other = createNetServer()
     await new Promise<void>((resolve) => { other.listen(0, ANYWHERE.host, resolve) })
     open.push(() => other.close())
--- a/src/adapters/gatewayHttp/_lib/checkFraming.ts
+++ b/src/adapters/gatewayHttp/_lib/checkFraming.ts
@@ -1,6 +1,7 @@
 /**
- * What the parser lets pass and a gateway must not: two readings of where a
- * request ends would let one request hide inside another.
+ * Rejects requests that Node.js's HTTP parser accepts but a gateway must not:
+ * when two servers can disagree about where a request ends, another request can
+ * be smuggled inside it.
  */
 import type { IncomingMessage } from 'node:http'
 import type { GatewayLimits, GatewayRefusal, HeaderList } from '../../../types/index.js'
@@ -11,7 +12,7 @@
 
 const BAD: GatewayRefusal = { status: 400, reason: 'badRequest' }
 
-/** Returns why a request is refused, or `undefined`. */
+/** Returns the refusal of a request, or `undefined` for a valid one. */
 export const checkFraming = (message: IncomingMessage, headers: HeaderList, limits: GatewayLimits): GatewayRefusal | undefined => {
   const seen = new Set<string>()
   let bytes = (message.method?.length ?? 0) + (message.url?.length ?? 0)
--- a/src/adapters/gatewayHttp/_lib/createPauseWatch.test.ts
+++ b/src/adapters/gatewayHttp/_lib/createPauseWatch.test.ts
@@ -19,7 +19,7 @@
 }
 
 describe('createPauseWatch', () => {
-  test('acts at once while the loop runs, and when it is a little late', async () => {
+  test('calls back at once while the event loop runs, and when it is a little late', async () => {
     const { clock, acts, standStill, act } = startWatch()
     await clock.advanceAndSettle(5_000)
     standStill(400)
@@ -27,15 +27,15 @@
     expect(acts).toEqual(['a'])
   })
 
-  test('notices that the VM was suspended', () => {
+  test('detects that the VM was suspended', () => {
     const { acts, suspend, act } = startWatch()
     suspend(3_000)
     act('a')
     expect(acts).toEqual([])
   })
 
-  // What was read right after a pause was sent on before the caller's close was seen.
-  test('waits a moment after a pause, with what comes soon after it too', async () => {
+  // Guards against forwarding a request that is read right after a pause, before the caller's close is read.
+  test('delays callbacks after a pause, also of requests that arrive soon after it', async () => {
     const { clock, acts, standStill, act } = startWatch()
     standStill(3_000)
     act('a')
--- a/src/adapters/gatewayHttp/_lib/createPauseWatch.ts
+++ b/src/adapters/gatewayHttp/_lib/createPauseWatch.ts
@@ -1,22 +1,23 @@
 /**
- * Notices that the process stood still. What came meanwhile waits in the
- * kernel: a caller's request is then read before the close that came after it.
+ * Detects that the process was paused. Data that arrived during the pause is
+ * still in the kernel's buffers: a caller's request is read before the close
+ * that followed it.
  */
 import type { Clock, Timer } from '../../../types/index.js'
 
 export type PauseWatch = {
-  /** Calls back at once, or after a pause once the closes that came in it have been read. */
+  /** Calls back at once or, shortly after a pause, once the closes that arrived during the pause have been read. */
   readonly whenSettled: (act: () => void) => void
   readonly stop: () => void
 }
 
 const PULSE_MS = 250
-/** A busy loop is this late at times; callers that leave in so short a pause are few. */
+/** A busy event loop is late by this much at times; few callers disconnect during so short a pause. */
 const LEAST_PAUSE_MS = 500
-/** For so long after a pause a small VM still reads what came in it. */
+/** For this long after a pause, a small VM still reads data that arrived during the pause. */
 const CATCH_UP_MS = 1_000
 
-/** One turn of the loop reads the request, the next one the close behind it; by time alone a slow VM would not get so far. */
+/** One turn of the event loop reads the request, the next one reads the close that follows. With a fixed delay, a slow VM might not have read it. */
 const afterNextTurn = (act: () => void): void => { setImmediate(() => setImmediate(act)) }
 
 /** Creates the watch, which runs until it is stopped. */
@@ -26,10 +27,10 @@
   let wokeAt = -Infinity
   let timer: Timer
 
-  // The loop reads sockets before it runs timers, so that each request asks as well.
+  // The event loop reads sockets before it runs timers, so each request checks for a pause as well.
   const notePause = (): void => {
     const now = clock.now()
-    // The monotonic time of a VM that was suspended stands still.
+    // The monotonic clock stands still while a VM is suspended, so the wall time counts as well.
     const gapMs = Math.max(now - pulseAt, clock.wallTime() - pulseWallTime)
     if (gapMs > PULSE_MS + LEAST_PAUSE_MS) wokeAt = now
   }
--- a/src/adapters/gatewayHttp/_lib/createSink.ts
+++ b/src/adapters/gatewayHttp/_lib/createSink.ts
@@ -2,9 +2,9 @@
 import type { ServerResponse } from 'node:http'
 import type { CallerSink, FinalReason, GatewayRefusal, HeaderList, InstanceAnswer } from '../../../types/index.js'
 
-/** Refusals after which the connection ends: what follows on it can't be trusted or is not wanted. */
+/** Refusals after which the connection is closed: bytes that follow on it can't be trusted or are not wanted. */
 const CLOSING_REASONS: ReadonlySet<FinalReason> = new Set(['badRequest', 'headerTooLarge', 'bodyTooLarge'])
-/** After a refusal of a body that is still coming, so long is read on, lest a reset overtake the answer. */
+/** How long the connection is still read after a request was refused while its body is being sent: closing at once would reset it, and the caller could lose the answer. */
 const LINGER_MS = 500
 
 const flatten = (headers: HeaderList): string[] => headers.flatMap(([name, value]) => [name, value])
@@ -14,11 +14,11 @@
 export type SinkOptions = {
   /** Whether the node is shutting down. */
   readonly isClosing: () => boolean
-  /** Told when nothing more may be read from the connection as a request. */
+  /** Called when bytes that follow on the connection must not be taken for a request. */
   readonly onUntrusted: () => void
 }
 
-/** Creates the sink of one request. */
+/** Creates the writer for the answer of one request. */
 export const createSink = (response: ServerResponse, { isClosing, onUntrusted }: SinkOptions): CallerSink => {
   const closing = (): string[] => isClosing() ? ['Connection', 'close'] : []
 
--- a/src/adapters/gatewayHttp/_lib/readBody.ts
+++ b/src/adapters/gatewayHttp/_lib/readBody.ts
@@ -1,10 +1,10 @@
-/** Reads a request's body whole, so that it can be sent to another backend server once more. */
+/** Reads the complete body of a request, so that a retry can send it to another backend server. */
 import type { IncomingMessage } from 'node:http'
 
 export type BodyListener = {
   readonly onBody: (body: Uint8Array) => void
   readonly onTooLarge: () => void
-  /** The caller's connection ended first. */
+  /** Called when the caller's connection ends before the body is complete. */
   readonly onBroken: () => void
 }
 
--- a/src/adapters/gatewayHttp/index.ts
+++ b/src/adapters/gatewayHttp/index.ts
@@ -1,8 +1,9 @@
 /**
- * The listener for callers of a gateway node, on node:http itself: a
- * framework's router decodes paths and its start takes as long as the rest of
- * the daemon. It frames strictly, bounds what a caller may send, and gives each
- * request exactly one answer; an answer that ends early breaks its connection.
+ * HTTP listener for the callers of a gateway. It uses node:http directly: the
+ * router of a framework decodes paths, and takes as long to start as the rest of
+ * the daemon. It checks framing strictly, limits what a caller may send, and
+ * writes exactly one answer per request; if an answer ends early, its connection
+ * is closed.
  */
 import { createServer } from 'node:http'
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -19,32 +20,32 @@
   readonly host: string
   /** 0 lets the operating system choose. */
   readonly port: number
-  /** Takes the place of host and port where the listener is open already. */
+  /** Used instead of host and port when the listener is open already. */
   readonly earlyListener?: EarlyListener | undefined
   readonly clock: Clock
   readonly logger: Logger
   readonly dialect: Pick<GatewayDialect, 'decodeRequest'>
   readonly forwarding: Forwarding
   readonly timeline?: StartTimeline | undefined
-  /** What the configuration in force allows; `undefined` before there is one. */
+  /** Returns the limits of the configuration in force; `undefined` before there is one. */
   readonly readLimits: () => GatewayLimits | undefined
 }
 
 export type GatewayHttp = {
   readonly listen: () => Promise<PeerAddress>
-  /** From now on answers ask the caller to close the connection; everything is still served. */
+  /** From now on answers carry `Connection: close`; all requests are still served. */
   readonly beginClosing: () => void
-  /** Closes connections on which no request is open. */
+  /** Closes connections without an open request. */
   readonly closeIdle: () => void
   readonly openConnections: () => number
-  /** Monotonic milliseconds at which the last connection or request came. */
+  /** Monotonic time of the last new connection or request, in milliseconds. */
   readonly lastUsedAt: () => number
   readonly close: () => void
 }
 
-/** Before a configuration is known. */
+/** Limits until a configuration is known. */
 const INITIAL_LIMITS: GatewayLimits = { maximumHeaderBytes: 16_384, maximumBodyBytes: 1_048_576, headerTimeoutMs: 3_000, idleTimeoutMs: 15_000 }
-/** Above every configuration's limit; the configured one is checked once the head is read. */
+/** Limit of the parser, above any configured limit; the configured one is checked once the head is read. */
 const PARSER_HEADER_BYTES = 128 * 1024
 
 const listHeaders = (raw: readonly string[]): HeaderList => {
@@ -56,7 +57,7 @@
 /**
  * Creates the listener.
  *
- * @param options - Where to listen, the wire's names, and the forwarding service.
+ * @param options - Where to listen, the dialect, and the forwarding service.
  * @returns The listener, not yet open.
  *
  * @example
@@ -68,8 +69,8 @@
   const sockets = new Set<Socket>()
   const busy = new Map<Socket, number>()
   /**
-   * Connections with a request whose end is in doubt. What the parser finds behind it may have been
-   * hidden in its body: it is read on only until the refusal is through.
+   * Connections with a request whose end is uncertain. What the parser takes for a next request may be
+   * smuggled in its body, so it is ignored; the connection is read only until the refusal is sent.
    */
   const untrusted = new WeakSet<Socket>()
   const pauses = createPauseWatch(clock)
@@ -87,7 +88,7 @@
   const handle = (message: IncomingMessage, response: ServerResponse): void => {
     const receivedAt = clock.now()
     const { socket } = message
-    // Closed from this side while the request was on its way: it can't be answered any more, so it must not run.
+    // This side closed the connection while the request was in transit. It can't be answered any more, so it must not run.
     if (!socket.writable || untrusted.has(socket)) return
     lastUsedAt = receivedAt
     countBusy(socket, 1)
@@ -137,7 +138,7 @@
     applyLimits()
   })
 
-  // Bytes that are no HTTP request: the parser's state is lost, so the connection ends with its answer.
+  // For bytes that are not an HTTP request: the parser's state is lost, so the connection is closed after the answer.
   server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
     logger.debug('connection with bytes that are no request', { code: error.code, message: error.message })
     if (!socket.writable || busy.has(socket as Socket)) return socket.destroy()
--- a/src/adapters/instanceHttp/index.ts
+++ b/src/adapters/instanceHttp/index.ts
@@ -1,7 +1,7 @@
 /**
- * Exchanges with backend servers over HTTP/1.1. Each connection is one undici
- * client without pipelining, so that it is known which connection a request is
- * on, whether a byte of it was written, and how long the connection was idle.
+ * Sends requests to backend servers over HTTP/1.1. Each connection is one
+ * undici client without pipelining, so that it is known which connection carries
+ * a request, whether a byte of it was written, and how long it was idle before.
  */
 import { connect } from 'node:net'
 import { buildConnector, Client } from 'undici'
@@ -18,17 +18,17 @@
 type Connection = { readonly client: Client, lastUsedAt: number, isBusy: boolean, isDead: boolean, isReset: boolean }
 
 /**
- * Time for a new connection: a lost first packet is sent again after a second,
- * and another server is found sooner than that. The way to another zone and
- * back takes some 10 ms, a processor pause of a small VM up to 100 ms.
+ * Connect timeout. TCP retransmits a lost first packet only after a second; it
+ * is faster to try another server. A round trip to another zone takes about
+ * 10 ms, and the processor of a small VM may pause for up to 100 ms.
  */
 const CONNECT_TIMEOUT_MS = 200
-/** Idle connections that are kept for a server's next burst. */
+/** Maximum number of idle connections per server, kept open for its next burst of requests. */
 const IDLE_CONNECTIONS_KEPT = 32
-/** An idle connection may have been closed by the server, with the news still on its way; requests that can't be repeated take only younger ones. */
+/** Maximum idle time of a reused connection. The server may have closed an older one while its FIN is still in transit, and a request that can't be retried would be lost. */
 const FRESH_IDLE_MS = 1_500
 const LONGEST_IDLE_MS = 60_000
-/** Before a server's stated idle limit, its connection is closed here by this margin. */
+/** An idle connection is closed this long before the end of the server's stated keep-alive timeout. */
 const IDLE_MARGIN_MS = 1_000
 
 const listHeaders = (raw: readonly Buffer[]): HeaderList => {
@@ -40,7 +40,7 @@
 /**
  * Creates the client of one node.
  *
- * @param options - Clock, the wire's names, and the connect timeout in milliseconds.
+ * @param options - Clock, dialect, and the connect timeout in milliseconds.
  * @returns The client; connections are opened as needed.
  *
  * @example
@@ -55,7 +55,7 @@
     if (connection.isDead) return
     connection.isDead = true
     pool.delete(connection)
-    connection.client.destroy().catch(() => { /* its requests were told already */ })
+    connection.client.destroy().catch(() => { /* its requests have been notified already */ })
   }
 
   const connector = buildConnector({ timeout: options.connectTimeoutMs ?? CONNECT_TIMEOUT_MS, noDelay: true })
@@ -69,10 +69,10 @@
       keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
       connect: (target, callback) => connector(target, (...result) => {
         const [, socket] = result
-        // The client takes a reset for the end of an answer that has no length, and the
-        // loop shows a reset right behind some bytes as an orderly end. A part of the
-        // answer would pass for the whole. A connection that was reset has no peer any
-        // more, one that was closed in order still has. These listeners are told first.
+        // undici takes a reset for the end of an answer without a length, and the event
+        // loop reports a reset right after some bytes as an orderly end. A partial answer
+        // would pass for a complete one. A socket that was reset has no remote address any
+        // more, one that was closed in order still has. These listeners run before undici's.
         socket?.on('error', () => { connection.isReset = true })
         socket?.on('end', () => { connection.isReset ||= socket.remoteAddress === undefined })
         callback(...result)
@@ -92,7 +92,7 @@
       if (youngest === undefined || connection.lastUsedAt > youngest.lastUsedAt) youngest = connection
     }
     if (youngest === undefined || clock.now() - youngest.lastUsedAt <= FRESH_IDLE_MS) return youngest
-    // All idle ones are old: they go, rather than wait to be found closed.
+    // All idle connections have been idle for too long. They are closed now, since none of them will be used again.
     for (const connection of [...pool]) if (!connection.isBusy) drop(pool, connection)
     return undefined
   }
@@ -125,8 +125,8 @@
       isOver = true
       drop(own, connection)
       const message = `${error.code ?? error.name}: ${error.message}`
-      // Only this proves it: the codes of a failed connect come on a connection that
-      // carried the request as well, when the way to its server is lost.
+      // Only `isSent` proves whether the request was sent. The error codes of a failed
+      // connect also occur after the request was sent, when the route to the server is lost.
       listener.onFailure(isSent ? { kind: 'broken', message } : { kind: 'notSent', message })
     }
 
@@ -147,7 +147,7 @@
       },
       onComplete: () => {
         if (isOver) return
-        if (connection.isReset) return fail(new Error('reset in the middle of the answer'))
+        if (connection.isReset) return fail(new Error('the connection was reset in the middle of the answer'))
         isOver = true
         release(own, connection)
         listener.onEnd()
@@ -159,7 +159,7 @@
       path: attempt.request.target,
       headers: dialect.encodeAttempt(attempt) as string[],
       body: attempt.body.length > 0 ? attempt.body : null,
-      // Of no use without TLS; left out, the client derives it from the host of each request, and its first use compiles a pattern of IPv6 addresses.
+      // Not used without TLS. Without it undici derives a name from the host of each request, which compiles a regular expression for IPv6 addresses at the first request.
       servername: attempt.instance.address.host
     }
     connection.client.dispatch(options, handler)
--- a/src/adapters/instanceHttp/test.ts
+++ b/src/adapters/instanceHttp/test.ts
@@ -24,7 +24,7 @@
   return client
 }
 
-/** A server that takes requests and never answers. */
+/** Starts a server that reads requests and never answers. */
 const startSilentServer = async (onRequest: () => void): Promise<number> => {
   const sockets: Socket[] = []
   const server: Server = createServer((socket) => {
@@ -59,8 +59,8 @@
 })
 
 describe('createInstanceHttp', () => {
-  // A sent order whose connection is lost with the code of a failed connect would pass for not sent.
-  test.each(['ETIMEDOUT', 'EHOSTUNREACH', 'ENETUNREACH', 'ECONNREFUSED'])('does not take %s after the request went out for not sent', async (code) => {
+  // Guards against reporting a request as not sent when its connection is lost after the request was sent, with the error code of a failed connect.
+  test.each(['ETIMEDOUT', 'EHOSTUNREACH', 'ENETUNREACH', 'ECONNREFUSED'])('does not report a request as not sent on %s after it was sent', async (code) => {
     const sockets: Socket[] = []
     const onConnected = (message: unknown): void => { sockets.push((message as { readonly socket: Socket }).socket) }
     subscribe(CONNECTED, onConnected)
@@ -69,7 +69,7 @@
     expect((await sendAndFail(createClient(), port)).kind).toBe('broken')
   })
 
-  test('tells a connection that could not be made as not sent', async () => {
+  test('reports a failed connect as not sent', async () => {
     const server = createServer()
     await new Promise<void>((resolve) => { server.listen(0, '127.0.0.1', resolve) })
     const { port } = server.address() as AddressInfo
--- a/src/adapters/operatorClient/index.ts
+++ b/src/adapters/operatorClient/index.ts
@@ -1,4 +1,4 @@
-/** Asking routers for their status on their operator ports. */
+/** Reads the status of routers from their operator ports. */
 import { Agent, request } from 'undici'
 import { z } from 'zod'
 import { failure, success } from '../../kernel/index.js'
@@ -28,7 +28,7 @@
 
 const backendServer = z.looseObject({ backendServer: z.string(), state: z.string(), inFlight: z.number(), ownInFlight: z.number() })
 
-/** What the commands rely on; a router of another version may say more. */
+/** The fields that the commands rely on; a router of another version may send more. */
 const status = z.looseObject({
   nodeId: z.string(),
   availabilityZone: z.string(),
@@ -41,7 +41,7 @@
 /**
  * Creates a client for the operator ports of routers.
  *
- * @param options - The operator token, and the time-out of one call in milliseconds.
+ * @param options - The operator token, and the timeout of one call in milliseconds.
  * @returns The client.
  *
  * @example
@@ -62,7 +62,7 @@
         const text = await reply.body.text()
         if (reply.statusCode !== 200) return failure(explainStatus(reply.statusCode))
         const parsed = status.safeParse(JSON.parse(text))
-        return parsed.success ? success(parsed.data as unknown as NodeStatus) : failure('answered with something else than a router status')
+        return parsed.success ? success(parsed.data as unknown as NodeStatus) : failure('the answer is not a valid router status')
       } catch (error) {
         return failure(error instanceof Error ? describeError(error) : String(error))
       }
--- a/src/adapters/operatorHttp/index.ts
+++ b/src/adapters/operatorHttp/index.ts
@@ -1,6 +1,6 @@
 /**
- * The listener for operators: health, readiness and metrics for anybody who
- * reaches it, the status for holders of the operator token.
+ * HTTP listener for operators: health, readiness and metrics without
+ * authentication, the status with the operator token.
  */
 import { createHash, timingSafeEqual } from 'node:crypto'
 import type { AddressInfo } from 'node:net'
@@ -9,7 +9,7 @@
 
 export type OperatorHttpOptions = {
   readonly host: string
-  /** 0 takes a free port. */
+  /** 0 lets the operating system choose. */
   readonly port: number
   readonly operatorToken: string
   readonly readStatus: () => NodeStatus
@@ -18,7 +18,7 @@
 }
 
 export type OperatorHttp = {
-  /** Starts to listen and gives the origin. */
+  /** Starts to listen and resolves with the origin. */
   readonly listen: () => Promise<string>
   readonly close: () => Promise<void>
 }
@@ -52,14 +52,14 @@
 /**
  * Creates the listener for operators.
  *
- * @param options - Address, token, and where status and metrics come from.
+ * @param options - Address, token, and the functions that read the status and render the metrics.
  * @returns The listener, not yet listening.
  */
 export const createOperatorHttp = (options: OperatorHttpOptions): OperatorHttp => {
   const server = fastify({
     bodyLimit: MAXIMUM_BODY_BYTES,
     requestTimeout: REQUEST_TIMEOUT_MS,
-    // Without an interval of its own, Node.js looks for late connections only each 30 s.
+    // By default, Node.js checks connections for exceeded timeouts only every 30 s.
     http: { headersTimeout: REQUEST_TIMEOUT_MS, connectionsCheckingInterval: REQUEST_TIMEOUT_MS / CHECKS_PER_TIMEOUT },
     forceCloseConnections: true
   })
--- a/src/adapters/operatorHttp/test.ts
+++ b/src/adapters/operatorHttp/test.ts
@@ -33,28 +33,28 @@
 afterEach(() => server?.close())
 
 describe('createOperatorHttp', () => {
-  it('says that it is ready', async () => {
+  it('reports that it is ready', async () => {
     const response = await fetch(`${await startServer()}/readyz`)
     expect(response.status).toBe(200)
   })
 
-  it('says that it is not ready', async () => {
+  it('reports that it is not ready', async () => {
     const response = await fetch(`${await startServer({ ready: false })}/readyz`)
     expect(response.status).toBe(503)
   })
 
-  it('gives the status to holders of the token', async () => {
+  it('returns the status to a caller with the token', async () => {
     const response = await fetch(`${await startServer()}/status`, { headers: { authorization: 'Bearer a token for operators' } })
     expect(await response.json()).toEqual(createStatus())
   })
 
-  it.each([[undefined], ['Bearer wrong'], ['a token for operators'], ['Basic a token for operators']])('keeps the status from a caller with %s', async (authorization) => {
+  it.each([[undefined], ['Bearer wrong'], ['a token for operators'], ['Basic a token for operators']])('refuses the status to a caller with %s', async (authorization) => {
     const headers: Record<string, string> = authorization === undefined ? {} : { authorization }
     const response = await fetch(`${await startServer()}/status`, { headers })
     expect(response.status).toBe(401)
   })
 
-  it('gives the metrics without a token', async () => {
+  it('returns the metrics without a token', async () => {
     const response = await fetch(`${await startServer()}/metrics`)
     expect(await response.text()).toContain('dotterelspoke_requests_accepted_total')
   })
--- a/src/adapters/peerTcp/_lib/createConnection.ts
+++ b/src/adapters/peerTcp/_lib/createConnection.ts
@@ -1,7 +1,7 @@
 /**
- * One TCP connection between two routers: frames in and out, with the
- * handshake first. The encoder and decoder live as long as the connection, so
- * that the field names of a message are sent once and referred to afterwards.
+ * One TCP connection between two nodes: the handshake, then frames in both
+ * directions. The encoder and decoder live as long as the connection, so that
+ * the field names of a message are sent once and referred to afterwards.
  */
 import type { Socket } from 'node:net'
 import { Encoder } from 'cbor-x'
@@ -30,7 +30,7 @@
   readonly countBytes: (kind: string, bytes: number) => void
   readonly onReady: () => void
   readonly onFrame: (frame: unknown) => void
-  /** Called once, with why; also when the handshake fails. */
+  /** Called once, with the reason; also when the handshake fails. */
   readonly onClose: (reason: string) => void
 }
 
@@ -39,7 +39,7 @@
 /** Runs the handshake on a socket, then carries frames until either side closes. */
 export const createConnection = (options: ConnectionOptions): Connection => {
   const { socket, clock, maximumFrameBytes, maximumQueueBytes, countBytes } = options
-  // Two, as each keeps the field names of its own direction; one for both would mix them up.
+  // Two instances, since each keeps the field names of its own direction; a shared one would mix them up.
   const encoder = new Encoder({ sequential: true })
   const decoder = new Encoder({ sequential: true })
   let isReady = false
@@ -59,10 +59,10 @@
     if (socket.writableLength > maximumQueueBytes) return 'queueFull'
     const bytes = encoder.encode(frame)
     if (bytes.length > maximumFrameBytes) {
-      // The encoder may have introduced field names in this frame that the other
-      // side will now never see; later frames would be read wrongly. A new
+      // The encoder may have introduced field names in this frame that the peer
+      // never receives, so that it would decode later frames wrongly. A new
       // connection starts with a new encoder.
-      close('a frame to send was too large')
+      close('an outgoing frame exceeds the maximum frame size')
       return 'tooLarge'
     }
     const framed = withLength(bytes)
@@ -72,7 +72,7 @@
     return 'sent'
   }
 
-  /** Frames of one turn of the loop go out in one packet: a small VM spends more on each packet than on its bytes. */
+  /** Sends the frames of one turn of the event loop in one packet: on a small VM a packet costs more than its bytes. */
   const holdUntilTurnEnds = (): void => {
     if (isHolding) return
     isHolding = true
@@ -96,21 +96,21 @@
     const frame = decodeFrame(decoder, bytes)
     if (frame === undefined) return close('a frame could not be decoded')
     if (isReady) return options.onFrame(frame)
-    if (!handshake.accept(frame)) close('the peer did not prove the fleet key')
+    if (!handshake.accept(frame)) close('handshake failed: the peer did not prove that it has the fleet key')
   }
 
   const reader = createFrameReader(HANDSHAKE_FRAME_BYTES, acceptFrame)
   const createHandshake = options.role === 'dialer' ? createDialerHandshake : createListenerHandshake
   const handshake = createHandshake(options.fleetKey, (frame) => { write(frame, 'handshake') }, finishHandshake)
-  // A peer that connects and says nothing would hold a connection for ever.
+  // Without the timeout, a peer that connects and sends nothing would occupy a connection forever.
   const handshakeTimer = clock.setTimer(options.handshakeTimeoutMs, () => close('the handshake timed out'))
 
   socket.setNoDelay(true)
-  socket.on('data', (chunk) => { if (!reader.push(chunk)) close('a frame claimed too many bytes') })
+  socket.on('data', (chunk) => { if (!reader.push(chunk)) close('an incoming frame exceeds the maximum frame size') })
   socket.on('error', (error) => close(error.message))
   socket.on('close', () => close('the connection was closed'))
   handshake.start()
-  return { send: write, close: () => close('closed here') }
+  return { send: write, close: () => close('closed by this node') }
 }
 
 const decodeFrame = (decoder: Encoder, bytes: Buffer): unknown => {
--- a/src/adapters/peerTcp/_lib/createFrameReader.ts
+++ b/src/adapters/peerTcp/_lib/createFrameReader.ts
@@ -1,17 +1,17 @@
 /**
- * Cuts a TCP byte stream into frames: a 4-byte big-endian length, then so many
- * bytes. Chunks are joined once per frame, not once per chunk.
+ * Splits a TCP byte stream into frames: a 4-byte big-endian length, then that
+ * many bytes. Chunks are joined once per frame, not once per chunk.
  */
 
 const LENGTH_BYTES = 4
 
 export type FrameReader = {
-  /** Takes the next bytes; gives `false` when a frame claims more than it may have. */
+  /** Adds the next bytes; returns `false` when the length of a frame exceeds the maximum. */
   readonly push: (chunk: Uint8Array) => boolean
   readonly setMaximum: (bytes: number) => void
 }
 
-/** Calls `onFrame` with each whole frame, in order, each in memory of its own. */
+/** Calls `onFrame` with each complete frame, in order, each in a buffer of its own. */
 export const createFrameReader = (initialMaximum: number, onFrame: (frame: Buffer) => void): FrameReader => {
   let maximum = initialMaximum
   let chunks: Uint8Array[] = []
@@ -57,7 +57,7 @@
   }
 }
 
-/** Puts the length in front of a frame's bytes. */
+/** Prepends the length to the bytes of a frame. */
 export const withLength = (bytes: Uint8Array): Buffer => {
   const framed = Buffer.allocUnsafe(LENGTH_BYTES + bytes.length)
   framed.writeUInt32BE(bytes.length, 0)
--- a/src/adapters/peerTcp/_lib/createPeerLink.test.ts
+++ b/src/adapters/peerTcp/_lib/createPeerLink.test.ts
@@ -22,7 +22,7 @@
     maximumBackoffMs: 2_000,
     countBytes: () => {},
     onIdle: () => {},
-    // A socket that is never connected, as towards a VM without power.
+    // A socket that never connects, as to a VM that is not running yet.
     openSocket: () => {
       const socket = new Socket()
       sockets.push(socket)
@@ -32,9 +32,9 @@
   return { clock, link, sockets }
 }
 
-describe('a link to a peer that has no power', () => {
-  // A peer dialled while it is still dark would be found only by TCP's own repeat, a second later.
-  test('is dialled anew soon, without waiting for TCP', async () => {
+describe('a link to a peer whose VM is not running yet', () => {
+  // Guards against reaching a peer that was dialled before its start only by the retransmission of TCP, a second later.
+  test('is dialled again soon, without waiting for the retransmission', async () => {
     const { clock, link, sockets } = createLink()
     const first = link.request({ kind: 'rootRequest' }, 5_000)
     await clock.advanceAndSettle(350)
--- a/src/adapters/peerTcp/_lib/createPeerLink.ts
+++ b/src/adapters/peerTcp/_lib/createPeerLink.ts
@@ -1,7 +1,8 @@
 /**
- * The outgoing side towards one peer: dials when there is something to send,
- * holds a bounded queue meanwhile, backs off after a failure, and hangs up
- * when idle. Losing a link fails its open requests and drops its queue.
+ * The outgoing link to one peer. It connects when there is something to send,
+ * queues a bounded number of messages meanwhile, backs off after a failure, and
+ * closes when idle. Losing the connection fails its open requests and drops its
+ * queue.
  */
 import { connect } from 'node:net'
 import type { Socket } from 'node:net'
@@ -15,16 +16,16 @@
   readonly clock: Clock
   readonly random: RandomSource
   readonly maximumQueueLength: number
-  /** A peer that has no power yet does not answer, and TCP asks again only after a second. */
+  /** Connect timeout. A peer whose VM is not running yet does not answer, and TCP retransmits only after a second. */
   readonly connectTimeoutMs: number
   /** Opens a socket; TCP by default. */
   readonly openSocket?: (address: PeerAddress) => Socket
   readonly idleTimeoutMs: number
-  /** Time without any frame back after which a connection that was written to counts as lost. */
+  /** Time without any received frame after which a connection with unacknowledged frames counts as lost. */
   readonly stallTimeoutMs: number
   readonly initialBackoffMs: number
   readonly maximumBackoffMs: number
-  /** Called when the link hung up on its own and holds nothing. */
+  /** Called when the link has closed because it was idle. */
   readonly onIdle: () => void
 }
 
@@ -42,7 +43,7 @@
 
 const connectTcp = ({ host, port }: PeerAddress): Socket => connect({ host, port })
 
-/** Creates the link; nothing is dialled before the first message. */
+/** Creates the link; it connects at the first message. */
 export const createPeerLink = (options: LinkOptions): PeerLink => {
   const { address, clock, random } = options
   const pending = new Map<number, PendingRequest>()
@@ -67,8 +68,8 @@
     unansweredSince = undefined
     queue = []
     idleTimer?.cancel()
-    // A peer that is down would otherwise be dialled at each heartbeat of each
-    // router; the random part keeps a fleet from dialling it at the same moment.
+    // Without backoff, each router would dial a peer that is down at each
+    // heartbeat; the jitter keeps the fleet from dialling it at the same moment.
     const ceiling = Math.min(options.maximumBackoffMs, options.initialBackoffMs * 2 ** Math.max(0, failures - 1))
     retryAt = failures === 0 ? clock.now() : clock.now() + ceiling * (0.5 + random.next() / 2)
     failPending({ kind: 'unreachable', message: reason })
@@ -109,10 +110,10 @@
     connection = createConnection({ ...options, socket, role: 'dialer', onReady, onFrame, onClose })
   }
 
-  // When a link swallows packets, TCP keeps the connection for many minutes and
-  // repeats ever more rarely, so that a peer would stay lost long after the link
-  // is well again. Each frame is acknowledged within a short time; without that,
-  // the connection is given up and the next message dials anew.
+  // When the network drops packets, TCP keeps the connection for many minutes and
+  // retransmits ever more rarely, so the peer would stay unreachable long after the
+  // network has recovered. Each frame is acknowledged within a short time; without
+  // that, the connection is closed and the next message opens a new one.
   const dropStalled = (): void => {
     if (unansweredSince === undefined || clock.now() - unansweredSince < options.stallTimeoutMs) return
     connection?.close()
--- a/src/adapters/peerTcp/_lib/dispatchFrame.ts
+++ b/src/adapters/peerTcp/_lib/dispatchFrame.ts
@@ -1,6 +1,6 @@
 /**
- * What the listening side does with a message: find the handler of its kind,
- * run it, and answer when the sender waits for a reply.
+ * Handles a message on the listening side: runs the handler of its kind, and
+ * replies if the sender waits for a reply.
  */
 import type { PeerMessage, PeerReply } from '../../../types/index.js'
 
--- a/src/adapters/peerTcp/_lib/handshake.ts
+++ b/src/adapters/peerTcp/_lib/handshake.ts
@@ -1,8 +1,8 @@
 /**
- * The mutual proof of the fleet key. Each side picks a nonce, and each proof
- * is an HMAC over the prover's role and both nonces. A proof is no use on
- * another connection, since the verifier's nonce is new each time, and can't
- * be reflected to its sender, since the roles differ.
+ * Mutual authentication with the fleet key. Each side picks a nonce, and each
+ * proof is an HMAC over the prover's role and both nonces. A proof can't be
+ * replayed on another connection, since the verifier's nonce is new each time,
+ * nor reflected to its sender, since the roles differ.
  */
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto'
 
--- a/src/adapters/peerTcp/index.ts
+++ b/src/adapters/peerTcp/index.ts
@@ -1,7 +1,7 @@
 /**
- * The peer transport over TCP: length-prefixed `cbor-x` frames between routers
- * that have proved the fleet key to each other. A connection carries requests
- * one way, from the router that dialled it, and the replies back.
+ * Peer transport over TCP: length-prefixed `cbor-x` frames between nodes that
+ * have authenticated each other with the fleet key. A connection carries
+ * requests one way, from the node that opened it, and the replies back.
  */
 import { createServer } from 'node:net'
 import type { AddressInfo, Socket } from 'node:net'
@@ -18,7 +18,7 @@
   readonly host: string
   /** 0 lets the operating system choose. */
   readonly port: number
-  /** Host that peers are told to dial, when it is not the listener's. */
+  /** Host that is advertised to peers, when it is not the listener's. */
   readonly advertisedHost?: string
   readonly fleetKey: string
   readonly maximumFrameBytes: number
@@ -27,25 +27,25 @@
   readonly logger?: Logger
   readonly metrics?: Metrics
   readonly handshakeTimeoutMs?: number
-  /** Time within which a connection to a peer must be made; 300 by default. */
+  /** Connect timeout in milliseconds; 300 by default. */
   readonly connectTimeoutMs?: number
-  /** Messages held for a peer while it is being dialled; 256 by default. */
+  /** Maximum number of messages that are queued while a connection is being opened; 256 by default. */
   readonly maximumQueueLength?: number
   /** Bytes waiting in a socket above which messages to that peer are dropped; 1 MiB by default. */
   readonly maximumQueueBytes?: number
   readonly maximumConnections?: number
   readonly idleTimeoutMs?: number
   readonly stallTimeoutMs?: number
-  /** Time within which each frame is acknowledged; well below the peers' `stallTimeoutMs`. */
+  /** Maximum delay of the acknowledgement of a frame; well below the peers' `stallTimeoutMs`. */
   readonly acknowledgeDelayMs?: number
   readonly initialBackoffMs?: number
   readonly maximumBackoffMs?: number
 }
 
 export type PeerTcp = PeerTransport & {
-  /** Opens the listener. Rejects when the port can't be had. */
+  /** Opens the listener. Rejects when the port is not available. */
   readonly listen: () => Promise<PeerAddress>
-  /** What peers dial; the port is the real one once `listen` has resolved. */
+  /** The address that peers connect to; the port is the actual one once `listen` has resolved. */
   readonly address: () => PeerAddress
   /** Bytes written since the start by message kind; a reply counts as `<kind>Reply`. */
   readonly bytesSent: () => ReadonlyMap<string, number>
@@ -64,7 +64,7 @@
   maximumBackoffMs: 2000
 }
 
-/** A decoded array or map of a frame can't claim more entries than this. */
+/** Maximum number of entries that an array or map of a frame may declare. */
 const MAXIMUM_ENTRIES = 1_000_000
 
 /**
@@ -96,7 +96,7 @@
     options.metrics?.count('peer_sent_bytes', { kind }, bytes)
   }
 
-  /** Sends an empty frame soon after a frame has come, one for all that come meanwhile. */
+  /** Sends an empty frame shortly after a frame was received, one for all frames received meanwhile. */
   const createAcknowledgement = (send: () => void) => {
     let timer: Timer | undefined
     const acknowledge = (): void => {
--- a/src/adapters/peerTcp/test.ts
+++ b/src/adapters/peerTcp/test.ts
@@ -50,8 +50,8 @@
     expect(result).toMatchObject({ ok: false, error: { kind: 'unreachable' } })
   })
 
-  // A stranger would be let in by a proof that the router made for its own challenge.
-  it('takes no reflected proof', async () => {
+  // Guards against a reflection attack, in which a peer without the key sends the router's own frames back.
+  it('rejects a reflected proof', async () => {
     const listener = await openTransport()
     const socket = openSocket(listener.address().port)
     const closed = waitForClose(socket)
@@ -61,11 +61,11 @@
   })
 
   it.each([
-    { case: 'a frame that claims more bytes than a handshake may have', bytes: Buffer.from([0, 0, 2, 1]) },
+    { case: 'a frame that is longer than a handshake may be', bytes: Buffer.from([0, 0, 2, 1]) },
     { case: 'a frame that is not CBOR', bytes: withLength(Buffer.from([0xff, 0xff])) },
     { case: 'a proof of the wrong shape', bytes: withLength(new Encoder().encode({ nonce: 'text', proof: 7 })) },
     { case: 'an empty frame', bytes: withLength(Buffer.alloc(0)) }
-  ])('closes a connection on $case, and serves others on', async ({ bytes }) => {
+  ])('closes a connection on $case, and keeps serving others', async ({ bytes }) => {
     const listener = await openTransport()
     const peer = await openTransport()
     const socket = openSocket(listener.address().port)
@@ -83,8 +83,8 @@
     expect(socket.destroyed).toBe(true)
   })
 
-  // Field names of a message that was refused for its size would make the next one unreadable.
-  it('goes on after a message that is too large', async () => {
+  // Guards against unreadable messages after one that was too large: its field names are known to the encoder, but were never sent.
+  it('delivers further messages after one that is too large', async () => {
     const listener = await openTransport()
     const peer = await openTransport()
     await peer.request(listener.address(), lookup, TIMEOUT_MS)
@@ -94,8 +94,8 @@
     expect(result).toEqual({ ok: true, value: { kind: 'directoryEntry', backendServer: 'chat-1' } })
   })
 
-  // A router restarted at the same address would stay out of reach behind the old connection.
-  it('reconnects to a peer that came back', async () => {
+  // Guards against a router that is restarted at the same address and stays unreachable because of the old connection.
+  it('reconnects to a restarted peer', async () => {
     const peer = await openTransport()
     const first = await openTransport()
     const { port } = first.address()
@@ -110,8 +110,8 @@
     expect(result.ok).toBe(true)
   })
 
-  // A peer behind a link that swallowed packets would be lost for minutes.
-  it('gives up a connection that swallows everything, and dials anew', async () => {
+  // Guards against losing a peer for minutes after the network has dropped packets.
+  it('closes a connection that drops all data, and opens a new one', async () => {
     const listener = await openTransport({ acknowledgeDelayMs: 1 })
     let isSwallowing = false
     const link = createServer((near) => {
--- a/src/adapters/platformHttp/_lib/schemas.ts
+++ b/src/adapters/platformHttp/_lib/schemas.ts
@@ -1,4 +1,4 @@
-/** Shapes of the platform's JSON replies. */
+/** Schemas of the platform's JSON replies. */
 import { z } from 'zod'
 
 export const objectListSchema = z.object({
--- a/src/adapters/platformHttp/_lib/sendOnce.ts
+++ b/src/adapters/platformHttp/_lib/sendOnce.ts
@@ -1,6 +1,6 @@
 /**
- * One HTTP exchange, sent at most once, that always knows whether any byte of
- * it may have reached the other side.
+ * Sends one HTTP request at most once, and reports whether any byte of it may
+ * have reached the other side.
  */
 import type { Dispatcher, Pool } from 'undici'
 import { failure, success } from '../../../kernel/index.js'
@@ -33,11 +33,11 @@
  *
  * undici calls `onRequestStart` right before it writes a request to a
  * connected socket, and writes nothing when that call aborts. A failure before
- * it therefore proves that the other side saw nothing; a timer that fires
- * earlier marks the exchange as given up, so that it is not sent afterwards.
+ * it therefore proves that the other side received nothing. A timeout before it
+ * marks the exchange as finished, so that it is not sent afterwards.
  *
  * @param pool - Connections to the origin; must not retry by itself.
- * @param exchange - What to send; `timeoutMs` covers the wait for a connection too.
+ * @param exchange - The request; `timeoutMs` includes the wait for a connection.
  * @returns The reply, or whether the request was sent before it failed.
  *
  * @example
@@ -74,7 +74,7 @@
       bodyTimeout: 0
     }, {
       onRequestStart: (controller) => {
-        if (finished) return controller.abort(new Error('given up before it was sent'))
+        if (finished) return controller.abort(new Error('timed out before it was sent'))
         started = controller
       },
       onResponseStart: (_controller, statusCode, replyHeaders) => {
@@ -84,7 +84,7 @@
       onResponseData: (_controller, chunk) => {
         chunks.push(chunk)
         size += chunk.byteLength
-        if (size > MAXIMUM_REPLY_BYTES) giveUp('the reply is too large')
+        if (size > MAXIMUM_REPLY_BYTES) giveUp('the reply exceeds the size limit')
       },
       onResponseEnd: () => finish(success({ status, headers, body: Buffer.concat(chunks) })),
       onResponseError: (_controller, error) => fail(error.message)
--- a/src/adapters/platformHttp/index.ts
+++ b/src/adapters/platformHttp/index.ts
@@ -1,6 +1,6 @@
 /**
- * The platform over HTTP. It sends each call once and turns every way in which
- * the call can fail into the one `PlatformError` that is true of it.
+ * Calls the platform's API over HTTP. Each call is sent once, and each failure
+ * is mapped to the `PlatformError` that describes it.
  */
 import { Pool } from 'undici'
 import type { z } from 'zod'
@@ -12,9 +12,9 @@
 export type PlatformHttpOptions = {
   /** Origin of the platform, for example `http://10.0.0.2:7000`. */
   readonly url: string
-  /** How long one call may take; a watch may take its own time-out besides. */
+  /** Timeout of one call; a watch may take its own timeout on top of it. */
   readonly timeoutMs: number
-  /** Connections at once; a waiting watch holds one. */
+  /** Maximum number of open connections; a waiting watch occupies one. */
   readonly maximumConnections?: number
 }
 
@@ -25,7 +25,7 @@
   410: () => ({ kind: 'revisionGone' }),
   412: () => ({ kind: 'conflict' }),
   413: (message) => ({ kind: 'rejected', message }),
-  // The platform answers 503 instead of acting: a write surely had no effect.
+  // The platform answers 503 without acting, so a write certainly had no effect.
   503: (message) => ({ kind: 'unavailable', message })
 }
 
@@ -34,12 +34,12 @@
 /**
  * Creates a client of the platform's object API.
  *
- * A call is never repeated here: after a lost reply only the caller can tell,
+ * A call is never retried here: after a lost reply only the caller can tell,
  * by reading back, whether its write took effect. A write that was not sent,
  * or that the platform refused with 503, is `unavailable`; a write that was
  * sent and has no reply is `outcomeUnknown`; a read is `unavailable` in both cases.
  *
- * @param options - Where the platform is, and the time-out of a call in milliseconds.
+ * @param options - URL of the platform, and the timeout of a call in milliseconds.
  * @returns A `Platform`.
  *
  * @example
@@ -123,8 +123,8 @@
 const explainRead = (reply: Reply): PlatformError =>
   STATUS_ERRORS[reply.status]?.(describeStatus(reply)) ?? { kind: 'unavailable', message: describeStatus(reply) }
 
-// A status that the contract does not have (such as 502 from something in
-// between) says nothing of whether the write took effect.
+// A status outside of the contract (such as 502 from a proxy) doesn't tell
+// whether the write took effect.
 const explainWrite = (reply: Reply): PlatformError =>
   STATUS_ERRORS[reply.status]?.(describeStatus(reply)) ?? outcomeUnknown(describeStatus(reply))
 
@@ -136,7 +136,7 @@
 const parseJson = <Value>(body: Buffer, schema: z.ZodType<Value>): Result<Value, PlatformError> => {
   try {
     const parsed = schema.safeParse(JSON.parse(body.toString('utf8')))
-    return parsed.success ? success(parsed.data) : failure({ kind: 'unavailable', message: 'the reply has another shape than documented' })
+    return parsed.success ? success(parsed.data) : failure({ kind: 'unavailable', message: 'the reply does not match its documented schema' })
   } catch {
     return failure({ kind: 'unavailable', message: 'the reply is not JSON' })
   }
--- a/src/adapters/platformHttp/test.ts
+++ b/src/adapters/platformHttp/test.ts
@@ -51,14 +51,14 @@
 ]
 
 describe.each(implementations)('the platform contract %s', (_name, create) => {
-  it('reads back what was created, under a name with slashes and odd characters', async () => {
+  it('reads back a created object, under a name with slashes and special characters', async () => {
     const platform = await create()
     const version = value(await platform.createObject('status/a b%2F?ž', bytes('x')))
     const found = value(await platform.readObject('status/a b%2F?ž'))
     expect([found?.name, found?.version, text(found?.bytes)]).toEqual(['status/a b%2F?ž', version, 'x'])
   })
 
-  it('keeps an empty object', async () => {
+  it('stores an empty object', async () => {
     const platform = await create()
     await platform.createObject('a', bytes(''))
     expect(value(await platform.readObject('a'))?.bytes.byteLength).toBe(0)
@@ -86,13 +86,13 @@
     expect(value(await platform.updateObject('a', bytes('1'), first))).not.toBe(first)
   })
 
-  it('can create again what was deleted', async () => {
+  it('can create an object again after it was deleted', async () => {
     const platform = await create()
     await platform.deleteObject('a', value(await platform.createObject('a', bytes('1'))))
     expect((await platform.createObject('a', bytes('2'))).ok).toBe(true)
   })
 
-  it.each([[1_000_000, 'none'], [1_000_001, 'rejected']])('takes an object of %i bytes with error %s', async (size, expected) => {
+  it.each([[1_000_000, 'none'], [1_000_001, 'rejected']])('answers the creation of an object of %i bytes with error %s', async (size, expected) => {
     expect(errorKind(await (await create()).createObject('a', new Uint8Array(size)))).toBe(expected)
   })
 
@@ -105,7 +105,7 @@
     expect([rest.objects.map(({ name }) => name), rest.continueAfter]).toEqual([['p/c'], undefined])
   })
 
-  it('gives a watch what it missed since its revision, of its prefix alone', async () => {
+  it('returns to a watch the changes since its revision, of its prefix only', async () => {
     const platform = await create()
     const version = value(await platform.createObject('p/a', bytes('')))
     await platform.createObject('q/b', bytes(''))
@@ -115,7 +115,7 @@
     expect(events.revision).toBe(3)
   })
 
-  it('wakes a waiting watch when something changes', async () => {
+  it('answers a waiting watch when an object changes', async () => {
     const platform = await create()
     const waiting = platform.watchObjects('p/', 0, 20_000)
     await platform.createObject('q/other', bytes(''))
@@ -123,7 +123,7 @@
     expect(value(await waiting).changes.map(({ name }) => name)).toEqual(['p/a'])
   })
 
-  it('ends a watch without changes at its time-out, at a revision to go on from', async () => {
+  it('ends a watch without changes at its timeout, with the revision to continue from', async () => {
     expect(value(await (await create()).watchObjects('p/', 0, 1))).toEqual({ revision: 0, changes: [] })
   })
 
@@ -147,41 +147,41 @@
   const writes = ['create', 'update', 'delete']
   const cases = Object.keys(acts).map((act) => [act, writes.includes(act) ? 'outcomeUnknown' : 'unavailable'] as const)
 
-  it.each(cases)('calls a %s that the platform refuses unavailable', async (act) => {
+  it.each(cases)('reports a %s that the platform refuses as unavailable', async (act) => {
     const { server, platform } = await startPair()
     server.faults.apply({ fault: 'outage' })
     expect(errorKind(await acts[act]!(platform))).toBe('unavailable')
   })
 
-  it.each(cases)('calls a %s unavailable when nothing listens', async (act) => {
+  it.each(cases)('reports a %s as unavailable when nothing listens', async (act) => {
     const { server, platform } = await startPair()
     await server.close()
     expect(errorKind(await acts[act]!(platform))).toBe('unavailable')
   })
 
-  // A write that hung after it was sent would pass for one that did not take effect.
-  it.each(cases)('calls a %s that hangs after it was sent %s', async (act, expected) => {
+  // Guards against reporting a write that hangs after it was sent as one without effect.
+  it.each(cases)('reports a %s that hangs after it was sent as %s', async (act, expected) => {
     const { server, platform } = await startPair({ timeoutMs: 100 })
     server.faults.apply({ fault: 'hang' })
     expect(errorKind(await acts[act]!(platform))).toBe(expected)
   })
 
-  it.each(cases)('calls a %s whose connection is cut after it was sent %s', async (act, expected) => {
+  it.each(cases)('reports a %s whose connection is reset after it was sent as %s', async (act, expected) => {
     const url = await startRawServer((socket) => socket.resetAndDestroy())
     const platform = createPlatformHttp({ url, timeoutMs: 20_000 })
     closers.push(platform.close)
     expect(errorKind(await acts[act]!(platform))).toBe(expected)
   })
 
-  it.each(cases)('calls a %s with a status outside the contract %s', async (act, expected) => {
+  it.each(cases)('reports a %s with a status outside the contract as %s', async (act, expected) => {
     const url = await startRawServer((socket) => socket.end('HTTP/1.1 502 Bad Gateway\r\ncontent-length: 0\r\n\r\n'))
     const platform = createPlatformHttp({ url, timeoutMs: 20_000 })
     closers.push(platform.close)
     expect(errorKind(await acts[act]!(platform))).toBe(expected)
   })
 
-  // A client that repeats a write by itself would report a conflict with its own.
-  it('sends a write once when its reply is lost, and the write is there', async () => {
+  // Guards against a client that retries a write by itself, and then reports a conflict with its own write.
+  it('sends a write once when its reply is lost, and the write takes effect', async () => {
     const { server, platform } = await startPair()
     server.faults.apply({ fault: 'loseReplies', count: 1 })
     expect(errorKind(await platform.createObject('a', bytes('1')))).toBe('outcomeUnknown')
@@ -189,8 +189,8 @@
     expect(server.calls()).toEqual({ 'PUT /objects': 1, 'GET /objects': 1 })
   })
 
-  // A write that waited for a connection past its time-out would be sent later.
-  it('calls a write that never got a connection unavailable, and does not send it later', async () => {
+  // Guards against sending a write after its timeout, when a connection becomes free.
+  it('reports a write that never got a connection as unavailable, and does not send it later', async () => {
     const server = await createPlatformServer({ clock })
     const platform = createPlatformHttp({ url: server.url, timeoutMs: 200, maximumConnections: 1 })
     closers.push(server.close, platform.close)
@@ -206,7 +206,7 @@
   const postFault = (server: PlatformServer, body: unknown): Promise<Response> =>
     fetch(`${server.controlUrl}/faults`, { method: 'POST', headers: { 'content-type': 'application/json' }, body: JSON.stringify(body) })
 
-  it('switches a fault on for a count of calls', async () => {
+  it('switches a fault on for a number of calls', async () => {
     const { server, platform } = await startPair()
     await postFault(server, { fault: 'outage', count: 1 })
     expect(errorKind(await platform.readObject('a'))).toBe('unavailable')
@@ -226,7 +226,7 @@
     expect((await postFault(server, order)).status).toBe(400)
   })
 
-  it('shows the VM list late while it lags', async () => {
+  it('returns an outdated VM list while it lags', async () => {
     const { server, platform } = await startPair()
     const fault: PlatformFault = 'vmLag'
     server.faults.apply({ fault, ms: 3_600_000 })
--- a/src/adapters/probeHttp/index.ts
+++ b/src/adapters/probeHttp/index.ts
@@ -1,4 +1,4 @@
-/** Small listeners beside the callers': readiness for the platform's balancer, metrics for the operators. */
+/** Small HTTP listeners besides the callers' one: readiness for the platform's load balancer, metrics for the operators. */
 import { createServer } from 'node:http'
 import type { PeerAddress } from '../../types/index.js'
 
@@ -10,7 +10,7 @@
  * Creates a listener that answers GET requests by their path.
  *
  * @param address - Where to listen; port 0 lets the operating system choose.
- * @param handlers - What each path answers.
+ * @param handlers - The function that composes the answer, for each path.
  * @returns The listener, not yet open.
  *
  * @example
--- a/src/adapters/promMetrics/index.ts
+++ b/src/adapters/promMetrics/index.ts
@@ -1,6 +1,6 @@
 /**
- * Prometheus metrics of a node, through prom-client. One table has the help
- * text and labels of each; docs/OPERATING.md says what to do about them.
+ * Prometheus metrics of a node, written with prom-client. The tables have the
+ * help text and the labels of each; docs/OPERATING.md explains how to act on them.
  */
 import { collectDefaultMetrics, Counter, Gauge, Histogram, Registry } from 'prom-client'
 import type { CounterName, GaugeName, GaugeReading, HistogramName, MetricLabels, Metrics } from '../../types/index.js'
@@ -56,8 +56,8 @@
 }
 
 /**
- * Time between two samples of the loop's delay, in milliseconds: each wakes the
- * process, and a pause that callers feel lasts longer.
+ * Time between two samples of the event loop's delay, in milliseconds. Each
+ * sample wakes the process up, and pauses that callers notice last longer.
  */
 const LOOP_DELAY_SAMPLE_MS = 200
 
--- a/src/adapters/seededRandom/index.ts
+++ b/src/adapters/seededRandom/index.ts
@@ -4,11 +4,11 @@
 const WORD_RANGE = 2 ** 32
 
 /**
- * Gives a random source that repeats itself for the same seed, for benches,
- * the load tool and nodes that a harness drives.
+ * Creates a random source that is reproducible from its seed, for benchmarks,
+ * the load tool and nodes in test environments.
  *
- * @param seed - Any whole number.
- * @returns A source whose numbers and identifiers follow from the seed.
+ * @param seed - Any integer.
+ * @returns A source whose numbers and identifiers depend only on the seed.
  *
  * @example
  * createSeededRandom(1).next() === createSeededRandom(1).next() // => true
--- a/src/adapters/startTimeline/index.ts
+++ b/src/adapters/startTimeline/index.ts
@@ -1,4 +1,4 @@
-/** When a process that has just been started came how far, and what processor time it had spent by then. */
+/** Records when a starting process reaches each step, and how much processor time it has used by then. */
 import type { StartStep, StartTimeline } from '../../types/index.js'
 
 const MILLISECONDS_PER_SECOND = 1_000
@@ -12,7 +12,7 @@
 /**
  * Creates the timeline of this process, which begins with the process itself.
  *
- * @returns The timeline; each step is noted once.
+ * @returns The timeline; it records the first mark of each step.
  *
  * @example
  * const timeline = createStartTimeline()
--- a/src/adapters/startTimeline/test.ts
+++ b/src/adapters/startTimeline/test.ts
@@ -2,7 +2,7 @@
 import { createStartTimeline } from './index.js'
 
 describe('createStartTimeline', () => {
-  test('gives time and processor time of each step, in the order they came', () => {
+  test('returns time and processor time of each step, in the order of the marks', () => {
     const timeline = createStartTimeline()
     timeline.mark('begun')
     timeline.mark('loaded')
--- a/src/adapters/systemClock/index.ts
+++ b/src/adapters/systemClock/index.ts
@@ -3,7 +3,7 @@
 const MILLISECONDS_PER_SECOND = 1_000
 const NANOSECONDS_PER_MILLISECOND = 1_000_000
 
-/** Loads nothing, where the global `performance` would load a dozen of the engine's modules into a start. */
+/** Doesn't use the global `performance`, which loads a dozen internal modules of Node.js during the start. */
 const readMonotonicMs = (): number => {
   const [seconds, nanoseconds] = process.hrtime()
   return seconds * MILLISECONDS_PER_SECOND + nanoseconds / NANOSECONDS_PER_MILLISECOND
@@ -15,7 +15,7 @@
 }
 
 /**
- * Gives the clock of the machine.
+ * Creates the clock of the machine.
  *
  * @param options - Whether its timers keep the process alive.
  * @returns A clock on the process's monotonic and wall time.
--- a/src/adapters/systemClocks/index.ts
+++ b/src/adapters/systemClocks/index.ts
@@ -5,7 +5,7 @@
 const MILLISECONDS_PER_SECOND = 1_000
 
 /**
- * Gives the machine's clocks.
+ * Creates the clocks of the machine.
  *
  * @returns Monotonic, wall and boot time in milliseconds.
  *
--- a/src/adapters/systemRandom/index.ts
+++ b/src/adapters/systemRandom/index.ts
@@ -4,7 +4,7 @@
 const ID_BYTES = 15
 
 /**
- * Gives the random source of the machine.
+ * Creates the random source of the process.
  *
  * @returns A source whose identifiers hold 120 random bits.
  *
--- a/src/adapters/winstonLogger/index.ts
+++ b/src/adapters/winstonLogger/index.ts
@@ -5,7 +5,7 @@
 export type LoggerOptions = {
   /** Least severe level that is written: `error`, `warn`, `info` or `debug`. */
   readonly level: string
-  /** Fields that stand in every line, such as the node's name. */
+  /** Fields of every line, such as the node's name. */
   readonly fields: LogFields
   /** Where the lines go; standard error by default. */
   readonly stream?: Writable
