--- a/examples/platform/sendThroughGateway.ts
+++ b/examples/platform/sendThroughGateway.ts
@@ -4,7 +4,7 @@
  * sent twice and read to its last event.
  */
 import { createDialect } from '../../platform/createDialect/index.js'
-import { createMemorySource } from '../../platform/createMemorySource/index.js'
+import { createPromptCacheSource } from '../../platform/createPromptCacheSource/index.js'
 import { createConfigurationSource } from '../../platform/createConfigurationSource/index.js'
 import { createInstanceSource } from '../../platform/createInstanceSource/index.js'
 import { createStoreClient } from '../../platform/createStoreClient/index.js'
@@ -61,7 +61,7 @@
     dialect: createDialect(),
     configurationSource: createConfigurationSource(client),
     instanceSource: createInstanceSource(client),
-    engineMemory: createMemorySource(),
+    engineMemory: createPromptCacheSource(),
     readinessPath: '/readyz'
   })
   await gateway.whenAble()
--- a/src/adapters/backendHttp/_lib/createBodyQueue.ts
+++ b/src/adapters/backendHttp/_lib/createBodyQueue.ts
@@ -5,7 +5,7 @@
  */
 import type { BackendBodyPart } from '../../../types/index.js'
 
-const HIGH_WATER_BYTES = 262_144
+const HIGH_WATER_MARK_BYTES = 262_144
 
 export type LastPart = Extract<BackendBodyPart, { kind: 'end' | 'cut' }>
 
@@ -28,17 +28,17 @@
   let queuedBytes = 0
   let isFinished = false
   let isPaused = false
-  let wake: (() => void) | undefined
+  let resumeReader: (() => void) | undefined
 
   const add = (part: BackendBodyPart): void => {
     parts.push(part)
-    wake?.()
-    wake = undefined
+    resumeReader?.()
+    resumeReader = undefined
   }
 
   const take = (part: BackendBodyPart): BackendBodyPart => {
     if (part.kind === 'data') queuedBytes -= part.bytes.length
-    if (isPaused && queuedBytes < HIGH_WATER_BYTES / 2) {
+    if (isPaused && queuedBytes < HIGH_WATER_MARK_BYTES / 2) {
       isPaused = false
       flow.resume()
     }
@@ -51,7 +51,7 @@
       while (last === undefined || last.kind === 'data') {
         const next = parts.shift()
         if (next === undefined) {
-          await new Promise<void>((resolve) => { wake = resolve })
+          await new Promise<void>((resolve) => { resumeReader = resolve })
           continue
         }
         last = take(next)
@@ -67,7 +67,7 @@
       if (isFinished) return
       queuedBytes += bytes.length
       add({ kind: 'data', bytes })
-      if (isPaused || queuedBytes < HIGH_WATER_BYTES) return
+      if (isPaused || queuedBytes < HIGH_WATER_MARK_BYTES) return
       isPaused = true
       flow.pause()
     },
--- a/src/adapters/backendHttp/_lib/createExchange.ts
+++ b/src/adapters/backendHttp/_lib/createExchange.ts
@@ -34,7 +34,7 @@
  * is ended only by the close of its connection looks the same when the server
  * has crashed, so this takes a declared length or chunks.
  */
-const hasProvableEnd = (method: string, status: number, headers: Headers): boolean =>
+const hasVerifiableEnd = (method: string, status: number, headers: Headers): boolean =>
   method === 'HEAD' ||
   BODILESS_STATUSES.has(status) ||
   headers['content-length'] !== undefined ||
@@ -50,7 +50,7 @@
   let controller: Dispatcher.DispatchController | undefined
   let aborted: Error | undefined
   let isWritten = false
-  let isEndProvable = true
+  let isEndVerifiable = true
   let settle: (result: Result<BackendAnswer, BackendError>) => void = () => {}
   const answer = new Promise<Result<BackendAnswer, BackendError>>((resolve) => { settle = resolve })
 
@@ -98,7 +98,7 @@
   const onResponseStart = (_: Dispatcher.DispatchController, status: number, rawHeaders: IncomingHttpHeaders): void => {
     if (status < FIRST_FINAL_STATUS) return
     const headers = joinHeaders(rawHeaders)
-    isEndProvable = hasProvableEnd(method, status, headers)
+    isEndVerifiable = hasVerifiableEnd(method, status, headers)
     settle(success({
       status,
       headers,
@@ -115,7 +115,7 @@
       onResponseStart,
       onResponseData: (_, chunk) => queue.push(chunk),
       onResponseEnd: () => {
-        finish(isEndProvable ? { kind: 'end' } : { kind: 'cut', message: 'only the close of the connection ended the body' })
+        finish(isEndVerifiable ? { kind: 'end' } : { kind: 'cut', message: 'only the close of the connection ended the body' })
       },
       onResponseError: (_, error) => {
         settle(failure(describeError(error)))
--- a/src/adapters/boundedLogger/index.ts
+++ b/src/adapters/boundedLogger/index.ts
@@ -15,9 +15,9 @@
 
 const WINDOW_MS = 1_000
 /** Lines per second for an event without a description, which a test reports as an error. */
-const DEFAULT_LINES = 50
+const DEFAULT_LINES_PER_SECOND = 50
 
-const findLines = (event: string): number => (gatewayEvents as Readonly<Record<string, EventDescription>>)[event]?.linesPerSecond ?? DEFAULT_LINES
+const readLinesPerSecond = (event: string): number => (gatewayEvents as Readonly<Record<string, EventDescription>>)[event]?.linesPerSecond ?? DEFAULT_LINES_PER_SECOND
 
 /**
  * Creates a logger with bounded volume.
@@ -48,7 +48,7 @@
       reportLeftOut()
     }
     const lines = written.get(event) ?? 0
-    if (lines < findLines(event)) {
+    if (lines < readLinesPerSecond(event)) {
       written.set(event, lines + 1)
       return true
     }
--- a/src/adapters/boundedOutput/index.ts
+++ b/src/adapters/boundedOutput/index.ts
@@ -25,7 +25,7 @@
 /** About one second of lines at maximum load. */
 const DEFAULT_MAXIMUM_BYTES = 256 * 1024
 /** Delay before a write to a full pipe is retried. */
-const FULL_PAUSE_MS = 20
+const FULL_PIPE_RETRY_MS = 20
 
 /**
  * Creates the stream.
@@ -39,12 +39,12 @@
 export const createBoundedOutput = (options: BoundedOutputOptions = {}): Writable => {
   const { descriptor = STANDARD_OUTPUT, maximumBytes = DEFAULT_MAXIMUM_BYTES, gatherMs = 0, onDropped } = options
   let waiting: Buffer[] = []
-  let waitingBytes = 0
+  let queuedBytes = 0
   let dropped = 0
   let isWriting = false
   let onIdle: (() => void) | undefined
 
-  const tellDropped = (): void => {
+  const reportDropped = (): void => {
     if (dropped === 0) return
     const lines = dropped
     dropped = 0
@@ -56,7 +56,7 @@
     if (waiting.length === 0) return onIdle?.()
     const batch = Buffer.concat(waiting)
     waiting = []
-    waitingBytes = 0
+    queuedBytes = 0
     writeAll(batch)
   }
 
@@ -64,12 +64,12 @@
     isWriting = true
     write(descriptor, bytes, (error, count) => {
       if (error?.code === 'EAGAIN') {
-        setTimeout(() => writeAll(bytes), FULL_PAUSE_MS).unref()
+        setTimeout(() => writeAll(bytes), FULL_PIPE_RETRY_MS).unref()
         return
       }
       if (error === null && count < bytes.length) return writeAll(bytes.subarray(count))
       isWriting = false
-      tellDropped()
+      reportDropped()
       flush()
     })
   }
@@ -77,10 +77,10 @@
   return new Writable({
     decodeStrings: true,
     write: (line: Buffer, _encoding, callback) => {
-      if (waitingBytes + line.length > maximumBytes) dropped += 1
+      if (queuedBytes + line.length > maximumBytes) dropped += 1
       else {
         waiting.push(line)
-        waitingBytes += line.length
+        queuedBytes += line.length
         if (!isWriting && waiting.length === 1) setTimeout(flush, gatherMs).unref()
       }
       callback()
--- a/src/adapters/callerHttp/_lib/createBodyBudget.ts
+++ b/src/adapters/callerHttp/_lib/createBodyBudget.ts
@@ -6,18 +6,18 @@
  */
 
 export type BodyBudget = {
-  readonly take: (bytes: number) => boolean
-  readonly giveBack: (bytes: number) => void
+  readonly reserve: (bytes: number) => boolean
+  readonly release: (bytes: number) => void
 }
 
 export const createBodyBudget = (totalBytes: number): BodyBudget => {
-  let takenBytes = 0
+  let reservedBytes = 0
   return {
-    take: (bytes) => {
-      if (takenBytes + bytes > totalBytes) return false
-      takenBytes += bytes
+    reserve: (bytes) => {
+      if (reservedBytes + bytes > totalBytes) return false
+      reservedBytes += bytes
       return true
     },
-    giveBack: (bytes) => { takenBytes -= bytes }
+    release: (bytes) => { reservedBytes -= bytes }
   }
 }
--- a/src/adapters/callerHttp/_lib/writeAnswer.ts
+++ b/src/adapters/callerHttp/_lib/writeAnswer.ts
@@ -30,7 +30,7 @@
 })
 
 /** Client libraries retry a failed request because of its status alone, unless `x-should-retry` forbids it. */
-const describeReturn = (refusal: Refusal): Headers => {
+const describeRetry = (refusal: Refusal): Headers => {
   if (refusal.retryAfterMs === undefined) return { 'x-should-retry': 'false' }
   const milliseconds = Math.max(0, Math.ceil(refusal.retryAfterMs))
   return { 'retry-after': String(Math.ceil(milliseconds / 1_000)), 'retry-after-ms': String(milliseconds) }
@@ -42,7 +42,7 @@
   }
 }
 
-const writeWhole = (writer: AnswerWriter, status: number, headers: Headers, body: Uint8Array): void => {
+const writeComplete = (writer: AnswerWriter, status: number, headers: Headers, body: Uint8Array): void => {
   const { response } = writer
   setHeaders(response, headers)
   response.setHeader('x-request-id', writer.requestId)
@@ -83,7 +83,7 @@
  * for its end; they report an error only for a destroyed socket. The error event
  * is sent first, for callers that read events.
  */
-const breakOff = async (writer: AnswerWriter, refusal: Refusal): Promise<void> => {
+const abortStream = async (writer: AnswerWriter, refusal: Refusal): Promise<void> => {
   const { response } = writer
   const isEventStream = String(response.getHeader('content-type') ?? '').startsWith('text/event-stream')
   if (isEventStream && !response.destroyed) {
@@ -97,7 +97,7 @@
 
 const writeStream = async (writer: AnswerWriter, parts: AsyncIterable<AnswerPart>): Promise<void> => {
   for await (const part of parts) {
-    if (part.kind === 'failed') return await breakOff(writer, part.refusal)
+    if (part.kind === 'failed') return await abortStream(writer, part.refusal)
     if (part.kind === 'end') {
       writer.response.end()
       return
@@ -110,11 +110,11 @@
 
 const writers: Writers = {
   whole: async (writer, answer) => {
-    writeWhole(writer, answer.status, answer.headers, answer.body)
+    writeComplete(writer, answer.status, answer.headers, answer.body)
   },
   refused: async (writer, { refusal }) => {
-    const headers = { 'content-type': 'application/json', 'x-request-outcome': refusal.outcome, ...describeReturn(refusal) }
-    writeWhole(writer, refusal.status, headers, Buffer.from(describeError(refusal)))
+    const headers = { 'content-type': 'application/json', 'x-request-outcome': refusal.outcome, ...describeRetry(refusal) }
+    writeComplete(writer, refusal.status, headers, Buffer.from(describeError(refusal)))
   },
   stream: async (writer, answer) => {
     setHeaders(writer.response, answer.headers)
--- a/src/adapters/callerHttp/index.ts
+++ b/src/adapters/callerHttp/index.ts
@@ -66,20 +66,20 @@
 const BODY_TOO_LARGE = 'FST_ERR_CTP_BODY_TOO_LARGE'
 const METHODS_WITHOUT_BODY: ReadonlySet<string> = new Set(['GET', 'HEAD'])
 
-const FULL_RETRY_MS = 1_000
+const BODY_BUDGET_RETRY_MS = 1_000
 
 const refuse = (reason: 'badRequest' | 'bodyTooLarge', message: string): CallerAnswer =>
   ({ kind: 'refused', refusal: createRefusal('not-run', reason, message) })
 
 /** Returns the bytes that a request reserves in the body budget: the maximum when the length of its body is unknown. */
-const readBodyBytes = ({ headers }: IncomingMessage, maximumBytes: number): number =>
+const computeReservedBytes = ({ headers }: IncomingMessage, maximumBytes: number): number =>
   headers['transfer-encoding'] === undefined ? Math.min(Number(headers['content-length'] ?? 0), maximumBytes) : maximumBytes
 
 const declaresBody = (message: IncomingMessage): boolean =>
   message.headers['transfer-encoding'] !== undefined || Number(message.headers['content-length'] ?? 0) > 0
 
 /** Returns a signal that aborts when the connection ends before the answer was written completely. */
-const watchHangUp = (response: ServerResponse): AbortSignal => {
+const watchDisconnect = (response: ServerResponse): AbortSignal => {
   const controller = new AbortController()
   response.once('close', () => {
     if (!response.writableFinished) controller.abort(new Error('the caller hung up'))
@@ -161,7 +161,7 @@
 
   const serve = async (request: FastifyRequest, reply: FastifyReply): Promise<void> => {
     reply.hijack()
-    const signal = watchHangUp(reply.raw)
+    const signal = watchDisconnect(reply.raw)
     const requestId = random.nextId()
     await write(reply, requestId, await answerRequest(request, requestId, signal))
   }
@@ -173,19 +173,19 @@
     await write(reply, random.nextId(), answer)
   }
 
-  const takeBody = async (request: FastifyRequest, reply: FastifyReply): Promise<void> => {
-    const bytes = readBodyBytes(request.raw, settings.maximumBodyBytes)
-    if (budget.take(bytes)) {
-      reply.raw.once('close', () => budget.giveBack(bytes))
+  const reserveBody = async (request: FastifyRequest, reply: FastifyReply): Promise<void> => {
+    const bytes = computeReservedBytes(request.raw, settings.maximumBodyBytes)
+    if (budget.reserve(bytes)) {
+      reply.raw.once('close', () => budget.release(bytes))
       return
     }
     reply.hijack()
     reply.raw.setHeader('connection', 'close')
-    await write(reply, random.nextId(), { kind: 'refused', refusal: createRefusal('not-run', 'queueFull', 'too much is being sent at once', FULL_RETRY_MS) })
+    await write(reply, random.nextId(), { kind: 'refused', refusal: createRefusal('not-run', 'queueFull', 'too much is being sent at once', BODY_BUDGET_RETRY_MS) })
   }
 
   const server = createServer(settings, refuseMalformed)
-  server.addHook('onRequest', takeBody)
+  server.addHook('onRequest', reserveBody)
   server.get(LIVE_PATH, async () => 'live\n')
   server.get(READY_PATH, async (_request, reply) => await reply.code(isReady ? 200 : 503).send(isReady ? 'ready\n' : 'not ready\n'))
   server.setNotFoundHandler(serve)
--- a/src/adapters/gatewayHttp/_lib/checkFraming.ts
+++ b/src/adapters/gatewayHttp/_lib/checkFraming.ts
@@ -10,7 +10,7 @@
 /** Colon, space and line end of each header line. */
 const LINE_OVERHEAD_BYTES = 4
 
-const BAD: GatewayRefusal = { status: 400, reason: 'badRequest' }
+const BAD_REQUEST: GatewayRefusal = { status: 400, reason: 'badRequest' }
 
 /** Returns the refusal of a request, or `undefined` for a valid one. */
 export const checkFraming = (message: IncomingMessage, headers: HeaderList, limits: GatewayLimits): GatewayRefusal | undefined => {
@@ -20,14 +20,14 @@
     const key = name.toLowerCase()
     bytes += name.length + value.length + LINE_OVERHEAD_BYTES
     if (!SINGLE_HEADERS.has(key)) continue
-    if (seen.has(key)) return BAD
+    if (seen.has(key)) return BAD_REQUEST
     seen.add(key)
   }
   if (bytes > limits.maximumHeaderBytes) return { status: 431, reason: 'headerTooLarge' }
-  if (seen.has('content-length') && seen.has('transfer-encoding')) return BAD
-  if (message.url?.startsWith('/') !== true) return BAD
+  if (seen.has('content-length') && seen.has('transfer-encoding')) return BAD_REQUEST
+  if (message.url?.startsWith('/') !== true) return BAD_REQUEST
   const encoding = message.headers['transfer-encoding']
-  if (encoding !== undefined && encoding.trim().toLowerCase() !== 'chunked') return BAD
+  if (encoding !== undefined && encoding.trim().toLowerCase() !== 'chunked') return BAD_REQUEST
   const length = message.headers['content-length']
   if (length !== undefined && Number(length) > limits.maximumBodyBytes) return { status: 413, reason: 'bodyTooLarge' }
   return undefined
--- a/src/adapters/gatewayHttp/_lib/createPauseWatch.test.ts
+++ b/src/adapters/gatewayHttp/_lib/createPauseDetector.test.ts
@@ -1,26 +1,26 @@
 import { describe, expect, test } from 'vitest'
-import { createPauseWatch } from './createPauseWatch.js'
+import { createPauseDetector } from './createPauseDetector.js'
 import { createManualClock } from '../../../emulator/createManualClock/index.js'
 
-const startWatch = () => {
+const startDetector = () => {
   const clock = createManualClock()
-  let stoodStillMs = 0
+  let pausedMs = 0
   let suspendedMs = 0
-  const watch = createPauseWatch({ now: () => clock.now() + stoodStillMs, wallTime: () => clock.wallTime() + stoodStillMs + suspendedMs, setTimer: clock.setTimer }, (act) => { clock.setTimer(5, act) })
+  const watch = createPauseDetector({ now: () => clock.now() + pausedMs, wallTime: () => clock.wallTime() + pausedMs + suspendedMs, setTimer: clock.setTimer }, (act) => { clock.setTimer(5, act) })
   const acts: string[] = []
   return {
     clock,
     acts,
     watch,
-    standStill: (ms: number): void => { stoodStillMs += ms },
+    standStill: (ms: number): void => { pausedMs += ms },
     suspend: (ms: number): void => { suspendedMs += ms },
-    act: (name: string): void => watch.whenSettled(() => { acts.push(name) })
+    act: (name: string): void => watch.runWhenCaughtUp(() => { acts.push(name) })
   }
 }
 
 describe('createPauseWatch', () => {
   test('calls back at once while the event loop runs, and when it is a little late', async () => {
-    const { clock, acts, standStill, act } = startWatch()
+    const { clock, acts, standStill, act } = startDetector()
     await clock.advanceAndSettle(5_000)
     standStill(400)
     act('a')
@@ -28,7 +28,7 @@
   })
 
   test('detects that the VM was suspended', () => {
-    const { acts, suspend, act } = startWatch()
+    const { acts, suspend, act } = startDetector()
     suspend(3_000)
     act('a')
     expect(acts).toEqual([])
@@ -36,7 +36,7 @@
 
   // Guards against forwarding a request that is read right after a pause, before the caller's close is read.
   test('delays callbacks after a pause, also of requests that arrive soon after it', async () => {
-    const { clock, acts, standStill, act } = startWatch()
+    const { clock, acts, standStill, act } = startDetector()
     standStill(3_000)
     act('a')
     await clock.advanceAndSettle(100)
--- a/src/adapters/gatewayHttp/_lib/createPauseWatch.ts
+++ b/src/adapters/gatewayHttp/_lib/createPauseDetector.ts
@@ -5,15 +5,15 @@
  */
 import type { Clock, Timer } from '../../../types/index.js'
 
-export type PauseWatch = {
+export type PauseDetector = {
   /** Calls back at once or, shortly after a pause, once the closes that arrived during the pause have been read. */
-  readonly whenSettled: (act: () => void) => void
+  readonly runWhenCaughtUp: (act: () => void) => void
   readonly stop: () => void
 }
 
-const PULSE_MS = 250
+const CHECK_INTERVAL_MS = 250
 /** A busy event loop is late by this much at times; few callers disconnect during so short a pause. */
-const LEAST_PAUSE_MS = 500
+const MINIMUM_PAUSE_MS = 500
 /** For this long after a pause, a small VM still reads data that arrived during the pause. */
 const CATCH_UP_MS = 1_000
 
@@ -21,33 +21,33 @@
 const afterNextTurn = (act: () => void): void => { setImmediate(() => setImmediate(act)) }
 
 /** Creates the watch, which runs until it is stopped. */
-export const createPauseWatch = (clock: Pick<Clock, 'now' | 'wallTime' | 'setTimer'>, wait: (act: () => void) => void = afterNextTurn): PauseWatch => {
-  let pulseAt = clock.now()
-  let pulseWallTime = clock.wallTime()
-  let wokeAt = -Infinity
+export const createPauseDetector = (clock: Pick<Clock, 'now' | 'wallTime' | 'setTimer'>, wait: (act: () => void) => void = afterNextTurn): PauseDetector => {
+  let checkedAt = clock.now()
+  let checkedWallTime = clock.wallTime()
+  let pauseEndedAt = -Infinity
   let timer: Timer
 
   // The event loop reads sockets before it runs timers, so each request checks for a pause as well.
-  const notePause = (): void => {
+  const detectPause = (): void => {
     const now = clock.now()
     // The monotonic clock stands still while a VM is suspended, so the wall time counts as well.
-    const gapMs = Math.max(now - pulseAt, clock.wallTime() - pulseWallTime)
-    if (gapMs > PULSE_MS + LEAST_PAUSE_MS) wokeAt = now
+    const gapMs = Math.max(now - checkedAt, clock.wallTime() - checkedWallTime)
+    if (gapMs > CHECK_INTERVAL_MS + MINIMUM_PAUSE_MS) pauseEndedAt = now
   }
 
-  const pulse = (): void => {
-    notePause()
-    pulseAt = clock.now()
-    pulseWallTime = clock.wallTime()
-    timer = clock.setTimer(PULSE_MS, pulse)
+  const checkPeriodically = (): void => {
+    detectPause()
+    checkedAt = clock.now()
+    checkedWallTime = clock.wallTime()
+    timer = clock.setTimer(CHECK_INTERVAL_MS, checkPeriodically)
   }
 
-  timer = clock.setTimer(PULSE_MS, pulse)
+  timer = clock.setTimer(CHECK_INTERVAL_MS, checkPeriodically)
 
   return {
-    whenSettled: (act) => {
-      notePause()
-      if (clock.now() - wokeAt > CATCH_UP_MS) return act()
+    runWhenCaughtUp: (act) => {
+      detectPause()
+      if (clock.now() - pauseEndedAt > CATCH_UP_MS) return act()
       wait(act)
     },
     stop: () => timer.cancel()
--- a/src/adapters/gatewayHttp/_lib/createSink.ts
+++ b/src/adapters/gatewayHttp/_lib/createResponseWriter.ts
@@ -5,13 +5,13 @@
 /** Refusals after which the connection is closed: bytes that follow on it can't be trusted or are not wanted. */
 const CLOSING_REASONS: ReadonlySet<FinalReason> = new Set(['badRequest', 'headerTooLarge', 'bodyTooLarge'])
 /** How long the connection is still read after a request was refused while its body is being sent: closing at once would reset it, and the caller could lose the answer. */
-const LINGER_MS = 500
+const LINGERING_CLOSE_MS = 500
 
 const flatten = (headers: HeaderList): string[] => headers.flatMap(([name, value]) => [name, value])
 
 const formatRetryAfter = (milliseconds: number): string => (Math.ceil(milliseconds) / 1000).toFixed(3)
 
-export type SinkOptions = {
+export type ResponseWriterOptions = {
   /** Whether the node is shutting down. */
   readonly isClosing: () => boolean
   /** Called when bytes that follow on the connection must not be taken for a request. */
@@ -19,7 +19,7 @@
 }
 
 /** Creates the writer for the answer of one request. */
-export const createSink = (response: ServerResponse, { isClosing, onUntrusted }: SinkOptions): CallerSink => {
+export const createResponseWriter = (response: ServerResponse, { isClosing, onUntrusted }: ResponseWriterOptions): CallerSink => {
   const closing = (): string[] => isClosing() ? ['Connection', 'close'] : []
 
   const writeHead = (status: number, headers: readonly string[]): void => {
@@ -42,7 +42,7 @@
       refuse(refusal, isClosing() ? [] : ['Connection', 'close'])
       const { socket } = response.req
       response.req.resume()
-      setTimeout(() => socket.destroy(), LINGER_MS).unref()
+      setTimeout(() => socket.destroy(), LINGERING_CLOSE_MS).unref()
     },
     whole: (answer: InstanceAnswer, body) => {
       writeHead(answer.status, [...flatten(answer.headers), 'Content-Length', String(body.length)])
--- a/src/adapters/gatewayHttp/_lib/readBody.ts
+++ b/src/adapters/gatewayHttp/_lib/readBody.ts
@@ -12,14 +12,14 @@
 export const readBody = (message: IncomingMessage, maximumBytes: number, listener: BodyListener): void => {
   const chunks: Buffer[] = []
   let bytes = 0
-  let isOver = false
-  const finish = (tell: () => void): void => {
-    if (isOver) return
-    isOver = true
-    tell()
+  let isFinished = false
+  const finish = (notify: () => void): void => {
+    if (isFinished) return
+    isFinished = true
+    notify()
   }
   message.on('data', (chunk: Buffer) => {
-    if (isOver) return
+    if (isFinished) return
     bytes += chunk.length
     if (bytes > maximumBytes) return finish(listener.onTooLarge)
     chunks.push(chunk)
--- a/src/adapters/gatewayHttp/index.ts
+++ b/src/adapters/gatewayHttp/index.ts
@@ -9,11 +9,11 @@
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { Socket } from 'node:net'
 import { checkFraming } from './_lib/checkFraming.js'
-import { createPauseWatch } from './_lib/createPauseWatch.js'
-import { createSink } from './_lib/createSink.js'
+import { createPauseDetector } from './_lib/createPauseDetector.js'
+import { createResponseWriter } from './_lib/createResponseWriter.js'
 import { readBody } from './_lib/readBody.js'
-import { openEarlyListener } from '../earlyListener/index.js'
-import type { EarlyListener } from '../earlyListener/index.js'
+import { openHandoverListener } from '../handoverListener/index.js'
+import type { HandoverListener } from '../handoverListener/index.js'
 import type { Clock, Forwarding, GatewayDialect, GatewayLimits, HeaderList, Logger, PeerAddress, StartTimeline } from '../../types/index.js'
 
 export type GatewayHttpOptions = {
@@ -21,7 +21,7 @@
   /** 0 lets the operating system choose. */
   readonly port: number
   /** Used instead of host and port when the listener is open already. */
-  readonly earlyListener?: EarlyListener | undefined
+  readonly handoverListener?: HandoverListener | undefined
   readonly clock: Clock
   readonly logger: Logger
   readonly dialect: Pick<GatewayDialect, 'decodeRequest'>
@@ -46,7 +46,7 @@
 /** Limits until a configuration is known. */
 const INITIAL_LIMITS: GatewayLimits = { maximumHeaderBytes: 16_384, maximumBodyBytes: 1_048_576, headerTimeoutMs: 3_000, idleTimeoutMs: 15_000 }
 /** Limit of the parser, above any configured limit; the configured one is checked once the head is read. */
-const PARSER_HEADER_BYTES = 128 * 1024
+const MAXIMUM_PARSED_HEADER_BYTES = 128 * 1024
 
 const listHeaders = (raw: readonly string[]): HeaderList => {
   const headers: [string, string][] = []
@@ -67,22 +67,22 @@
 export const createGatewayHttp = (options: GatewayHttpOptions): GatewayHttp => {
   const { clock, logger, dialect, forwarding } = options
   const sockets = new Set<Socket>()
-  const busy = new Map<Socket, number>()
+  const openRequests = new Map<Socket, number>()
   /**
    * Connections with a request whose end is uncertain. What the parser takes for a next request may be
    * smuggled in its body, so it is ignored; the connection is read only until the refusal is sent.
    */
   const untrusted = new WeakSet<Socket>()
-  const pauses = createPauseWatch(clock)
+  const pauseDetector = createPauseDetector(clock)
   let isClosing = false
   let lastUsedAt = clock.now()
 
   const limits = (): GatewayLimits => options.readLimits() ?? INITIAL_LIMITS
 
-  const countBusy = (socket: Socket, difference: number): void => {
-    const open = (busy.get(socket) ?? 0) + difference
-    if (open <= 0) busy.delete(socket)
-    else busy.set(socket, open)
+  const adjustOpenRequests = (socket: Socket, difference: number): void => {
+    const open = (openRequests.get(socket) ?? 0) + difference
+    if (open <= 0) openRequests.delete(socket)
+    else openRequests.set(socket, open)
   }
 
   const handle = (message: IncomingMessage, response: ServerResponse): void => {
@@ -91,36 +91,36 @@
     // This side closed the connection while the request was in transit. It can't be answered any more, so it must not run.
     if (!socket.writable || untrusted.has(socket)) return
     lastUsedAt = receivedAt
-    countBusy(socket, 1)
+    adjustOpenRequests(socket, 1)
     options.timeline?.mark('firstRequest')
     response.on('close', () => {
-      countBusy(socket, -1)
+      adjustOpenRequests(socket, -1)
       if (response.writableFinished && response.statusCode < 300) options.timeline?.mark('firstServed')
     })
     if (isClosing) response.setHeader('Connection', 'close')
-    const sink = createSink(response, { isClosing: () => isClosing, onUntrusted: () => { untrusted.add(socket) } })
+    const responseWriter = createResponseWriter(response, { isClosing: () => isClosing, onUntrusted: () => { untrusted.add(socket) } })
     const headers = listHeaders(message.rawHeaders)
     const problem = checkFraming(message, headers, limits())
     if (problem !== undefined) {
-      sink.refuse(problem)
+      responseWriter.refuse(problem)
       return
     }
     const decoded = dialect.decodeRequest({ method: message.method ?? '', target: message.url ?? '', headers, receivedAt })
     if (!decoded.ok) {
-      sink.refuse(decoded.error)
+      responseWriter.refuse(decoded.error)
       return
     }
-    const run = forwarding.begin(decoded.value, sink)
+    const run = forwarding.begin(decoded.value, responseWriter)
     response.on('close', () => { if (!response.writableFinished) run.cancel() })
     readBody(message, limits().maximumBodyBytes, {
-      onBody: (body) => pauses.whenSettled(() => run.submit(body)),
+      onBody: (body) => pauseDetector.runWhenCaughtUp(() => run.submit(body)),
       onTooLarge: () => run.reject({ status: 413, reason: 'bodyTooLarge' }),
       onBroken: run.cancel
     })
   }
 
   const server = createServer({
-    maxHeaderSize: PARSER_HEADER_BYTES,
+    maxHeaderSize: MAXIMUM_PARSED_HEADER_BYTES,
     noDelay: true,
     keepAlive: true,
     requireHostHeader: true,
@@ -133,7 +133,7 @@
     sockets.add(socket)
     socket.on('close', () => {
       sockets.delete(socket)
-      busy.delete(socket)
+      openRequests.delete(socket)
     })
     applyLimits()
   })
@@ -141,7 +141,7 @@
   // For bytes that are not an HTTP request: the parser's state is lost, so the connection is closed after the answer.
   server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
     logger.debug('connection with bytes that are no request', { code: error.code, message: error.message })
-    if (!socket.writable || busy.has(socket as Socket)) return socket.destroy()
+    if (!socket.writable || openRequests.has(socket as Socket)) return socket.destroy()
     const status = error.code === 'HPE_HEADER_OVERFLOW' ? '431 Request Header Fields Too Large' : error.code === 'ERR_HTTP_REQUEST_TIMEOUT' ? '408 Request Timeout' : '400 Bad Request'
     socket.end(`HTTP/1.1 ${status}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n`)
   })
@@ -156,17 +156,17 @@
   return {
     listen: async () => {
       applyLimits()
-      const listener = options.earlyListener ?? openEarlyListener(options)
+      const listener = options.handoverListener ?? openHandoverListener(options)
       const address = await listener.opened
       listener.handOver(server)
       return address
     },
     beginClosing: () => { isClosing = true },
-    closeIdle: () => { for (const socket of sockets) if (!busy.has(socket)) socket.end() },
+    closeIdle: () => { for (const socket of sockets) if (!openRequests.has(socket)) socket.end() },
     openConnections: () => sockets.size,
     lastUsedAt: () => lastUsedAt,
     close: () => {
-      pauses.stop()
+      pauseDetector.stop()
       server.close()
       for (const socket of sockets) socket.destroy()
     }
--- a/src/adapters/earlyListener/index.ts
+++ b/src/adapters/handoverListener/index.ts
@@ -7,7 +7,7 @@
 import type { AddressInfo, Server, Socket } from 'node:net'
 import type { PeerAddress } from '../../types/index.js'
 
-export type EarlyListener = {
+export type HandoverListener = {
   /** Resolves with the address it listens on; rejects when the listener can't be opened. */
   readonly opened: Promise<PeerAddress>
   /** Passes the listener and the connections accepted so far to `server`, which serves them. */
@@ -27,13 +27,13 @@
  * const early = openEarlyListener({ host: '127.0.0.1', port: 8080 })
  * early.handOver(createServer(handle))
  */
-export const openEarlyListener = ({ host, port }: PeerAddress): EarlyListener => {
+export const openHandoverListener = ({ host, port }: PeerAddress): HandoverListener => {
   const held = new Set<Socket>()
-  const hold = (socket: Socket): void => {
+  const holdSocket = (socket: Socket): void => {
     held.add(socket)
     socket.on('error', () => held.delete(socket))
   }
-  const server = createServer({ pauseOnConnect: true }, hold)
+  const server = createServer({ pauseOnConnect: true }, holdSocket)
   const opened = new Promise<PeerAddress>((resolve, reject) => {
     server.once('error', reject)
     server.listen({ host, port, backlog: LISTENER_BACKLOG }, () => resolve({ host, port: (server.address() as AddressInfo).port }))
@@ -43,7 +43,7 @@
   return {
     opened,
     handOver: (receiver) => {
-      server.off('connection', hold)
+      server.off('connection', holdSocket)
       receiver.listen(server, LISTENER_BACKLOG)
       for (const socket of held) {
         receiver.emit('connection', socket)
--- a/src/adapters/earlyListener/test.ts
+++ b/src/adapters/handoverListener/test.ts
@@ -2,7 +2,7 @@
 import { connect, createServer as createNetServer } from 'node:net'
 import type { AddressInfo, Socket } from 'node:net'
 import { afterEach, describe, expect, test } from 'vitest'
-import { openEarlyListener } from './index.js'
+import { openHandoverListener } from './index.js'
 import type { PeerAddress } from '../../types/index.js'
 
 const ANYWHERE: PeerAddress = { host: '127.0.0.1', port: 0 }
@@ -40,7 +40,7 @@
   // Guards against refusing callers that connect before the program is loaded: they retry only a second later.
   test('keeps connections and the bytes they send until the hand-over', async () => {
     const paths: string[] = []
-    const early = openEarlyListener(ANYWHERE)
+    const early = openHandoverListener(ANYWHERE)
     const address = await early.opened
     const answer = send(await dial(address), '/early')
     await passTurns()
@@ -52,7 +52,7 @@
 
   test('tolerates a connection that ends before the hand-over', async () => {
     const paths: string[] = []
-    const early = openEarlyListener(ANYWHERE)
+    const early = openHandoverListener(ANYWHERE)
     const address = await early.opened
     const gone = await dial(address)
     gone.resetAndDestroy()
@@ -66,6 +66,6 @@
     await new Promise<void>((resolve) => { other.listen(0, ANYWHERE.host, resolve) })
     open.push(() => other.close())
     const { port } = other.address() as AddressInfo
-    await expect(openEarlyListener({ ...ANYWHERE, port }).opened).rejects.toThrow('EADDRINUSE')
+    await expect(openHandoverListener({ ...ANYWHERE, port }).opened).rejects.toThrow('EADDRINUSE')
   })
 })
--- a/src/adapters/instanceHttp/index.ts
+++ b/src/adapters/instanceHttp/index.ts
@@ -15,7 +15,7 @@
   readonly connectTimeoutMs?: number
 }
 
-type Connection = { readonly client: Client, lastUsedAt: number, isBusy: boolean, isDead: boolean, isReset: boolean }
+type Connection = { readonly client: Client, lastUsedAt: number, isBusy: boolean, isClosed: boolean, isReset: boolean }
 
 /**
  * Connect timeout. TCP retransmits a lost first packet only after a second; it
@@ -24,10 +24,10 @@
  */
 const CONNECT_TIMEOUT_MS = 200
 /** Maximum number of idle connections per server, kept open for its next burst of requests. */
-const IDLE_CONNECTIONS_KEPT = 32
+const MAXIMUM_IDLE_CONNECTIONS = 32
 /** Maximum idle time of a reused connection. The server may have closed an older one while its FIN is still in transit, and a request that can't be retried would be lost. */
-const FRESH_IDLE_MS = 1_500
-const LONGEST_IDLE_MS = 60_000
+const MAXIMUM_REUSE_IDLE_MS = 1_500
+const MAXIMUM_IDLE_MS = 60_000
 /** An idle connection is closed this long before the end of the server's stated keep-alive timeout. */
 const IDLE_MARGIN_MS = 1_000
 
@@ -52,8 +52,8 @@
   const pools = new Map<string, Set<Connection>>()
 
   const drop = (pool: Set<Connection>, connection: Connection): void => {
-    if (connection.isDead) return
-    connection.isDead = true
+    if (connection.isClosed) return
+    connection.isClosed = true
     pool.delete(connection)
     connection.client.destroy().catch(() => { /* its requests have been notified already */ })
   }
@@ -65,7 +65,7 @@
       pipelining: 1,
       headersTimeout: 0,
       bodyTimeout: 0,
-      keepAliveTimeout: LONGEST_IDLE_MS,
+      keepAliveTimeout: MAXIMUM_IDLE_MS,
       keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
       connect: (target, callback) => connector(target, (...result) => {
         const [, socket] = result
@@ -78,20 +78,20 @@
         callback(...result)
       })
     })
-    const connection: Connection = { client, lastUsedAt: clock.now(), isBusy: false, isDead: false, isReset: false }
+    const connection: Connection = { client, lastUsedAt: clock.now(), isBusy: false, isClosed: false, isReset: false }
     client.on('disconnect', () => drop(pool, connection))
     client.on('connectionError', () => drop(pool, connection))
     pool.add(connection)
     return connection
   }
 
-  const findIdle = (pool: Set<Connection>): Connection | undefined => {
-    let youngest: Connection | undefined
+  const selectIdle = (pool: Set<Connection>): Connection | undefined => {
+    let mostRecent: Connection | undefined
     for (const connection of pool) {
-      if (connection.isBusy || connection.isDead) continue
-      if (youngest === undefined || connection.lastUsedAt > youngest.lastUsedAt) youngest = connection
+      if (connection.isBusy || connection.isClosed) continue
+      if (mostRecent === undefined || connection.lastUsedAt > mostRecent.lastUsedAt) mostRecent = connection
     }
-    if (youngest === undefined || clock.now() - youngest.lastUsedAt <= FRESH_IDLE_MS) return youngest
+    if (mostRecent === undefined || clock.now() - mostRecent.lastUsedAt <= MAXIMUM_REUSE_IDLE_MS) return mostRecent
     // All idle connections have been idle for too long. They are closed now, since none of them will be used again.
     for (const connection of [...pool]) if (!connection.isBusy) drop(pool, connection)
     return undefined
@@ -102,7 +102,7 @@
     connection.lastUsedAt = clock.now()
     let idle = 0
     for (const other of pool) if (!other.isBusy) idle += 1
-    if (idle > IDLE_CONNECTIONS_KEPT) drop(pool, connection)
+    if (idle > MAXIMUM_IDLE_CONNECTIONS) drop(pool, connection)
   }
 
   const send = (attempt: GatewayAttempt, listener: ExchangeListener): Exchange => {
@@ -112,18 +112,18 @@
       pool = new Set()
       pools.set(key, pool)
     }
-    const own = pool
-    const connection = findIdle(own) ?? open(own, attempt.instance)
+    const ownPool = pool
+    const connection = selectIdle(ownPool) ?? open(ownPool, attempt.instance)
     connection.isBusy = true
     let isSent = false
-    let isOver = false
+    let isFinished = false
     let resume: (() => void) | undefined
     let isPaused = false
 
     const fail = (error: NodeJS.ErrnoException): void => {
-      if (isOver) return
-      isOver = true
-      drop(own, connection)
+      if (isFinished) return
+      isFinished = true
+      drop(ownPool, connection)
       const message = `${error.code ?? error.name}: ${error.message}`
       // Only `isSent` proves whether the request was sent. The error codes of a failed
       // connect also occur after the request was sent, when the route to the server is lost.
@@ -138,18 +138,18 @@
       onHeaders: (status, rawHeaders, resumeReading) => {
         if (status < 200) return true
         resume = resumeReading
-        if (!isOver) listener.onHead(dialect.decodeAnswer(status, listHeaders(rawHeaders)))
+        if (!isFinished) listener.onHead(dialect.decodeAnswer(status, listHeaders(rawHeaders)))
         return !isPaused
       },
       onData: (chunk) => {
-        if (!isOver) listener.onData(chunk)
+        if (!isFinished) listener.onData(chunk)
         return !isPaused
       },
       onComplete: () => {
-        if (isOver) return
+        if (isFinished) return
         if (connection.isReset) return fail(new Error('the connection was reset in the middle of the answer'))
-        isOver = true
-        release(own, connection)
+        isFinished = true
+        release(ownPool, connection)
         listener.onEnd()
       },
       onError: fail
@@ -166,8 +166,8 @@
 
     return {
       abort: () => {
-        isOver = true
-        drop(own, connection)
+        isFinished = true
+        drop(ownPool, connection)
       },
       pause: () => { isPaused = true },
       resume: () => {
--- a/src/adapters/operatorClient/index.ts
+++ b/src/adapters/operatorClient/index.ts
@@ -60,7 +60,7 @@
           signal: AbortSignal.timeout(timeoutMs)
         })
         const text = await reply.body.text()
-        if (reply.statusCode !== 200) return failure(explainStatus(reply.statusCode))
+        if (reply.statusCode !== 200) return failure(describeStatus(reply.statusCode))
         const parsed = status.safeParse(JSON.parse(text))
         return parsed.success ? success(parsed.data as unknown as NodeStatus) : failure('the answer is not a valid router status')
       } catch (error) {
@@ -71,7 +71,7 @@
   }
 }
 
-const explainStatus = (code: number): string => code === 401 ? 'the operator token is missing or wrong' : `answered with status ${code}`
+const describeStatus = (code: number): string => code === 401 ? 'the operator token is missing or wrong' : `answered with status ${code}`
 
 const describeError = (error: Error): string => {
   if (error.name === 'TimeoutError') return 'no answer in time'
--- a/src/adapters/peerTcp/_lib/createConnection.ts
+++ b/src/adapters/peerTcp/_lib/createConnection.ts
@@ -5,8 +5,8 @@
  */
 import type { Socket } from 'node:net'
 import { Encoder } from 'cbor-x'
-import { createFrameReader, withLength } from './createFrameReader.js'
-import { createNonce, isNonce, isProof, prove } from './handshake.js'
+import { createFrameReader, prependLength } from './createFrameReader.js'
+import { createNonce, isNonce, isValidProof, createProof } from './handshake.js'
 import type { Role } from './handshake.js'
 import type { Clock } from '../../../types/index.js'
 
@@ -44,7 +44,7 @@
   const decoder = new Encoder({ sequential: true })
   let isReady = false
   let isClosed = false
-  let isHolding = false
+  let isCorked = false
 
   const close = (reason: string): void => {
     if (isClosed) return
@@ -65,20 +65,20 @@
       close('an outgoing frame exceeds the maximum frame size')
       return 'tooLarge'
     }
-    const framed = withLength(bytes)
-    holdUntilTurnEnds()
+    const framed = prependLength(bytes)
+    corkUntilNextTick()
     socket.write(framed)
     countBytes(kind, framed.length)
     return 'sent'
   }
 
   /** Sends the frames of one turn of the event loop in one packet: on a small VM a packet costs more than its bytes. */
-  const holdUntilTurnEnds = (): void => {
-    if (isHolding) return
-    isHolding = true
+  const corkUntilNextTick = (): void => {
+    if (isCorked) return
+    isCorked = true
     socket.cork()
     process.nextTick(() => {
-      isHolding = false
+      isCorked = false
       socket.uncork()
     })
   }
@@ -129,8 +129,8 @@
     accept: (frame) => {
       const { nonce, proof } = frame as { readonly nonce?: unknown, readonly proof?: unknown }
       if (!isNonce(nonce)) return false
-      if (!isProof(prove(fleetKey, 'dialer', nonce, ownNonce), proof)) return false
-      write({ proof: prove(fleetKey, 'listener', nonce, ownNonce) })
+      if (!isValidProof(createProof(fleetKey, 'dialer', nonce, ownNonce), proof)) return false
+      write({ proof: createProof(fleetKey, 'listener', nonce, ownNonce) })
       return finish()
     }
   }
@@ -142,7 +142,7 @@
   const answerChallenge = (nonce: unknown): boolean => {
     if (!isNonce(nonce)) return false
     listenerNonce = nonce
-    write({ nonce: ownNonce, proof: prove(fleetKey, 'dialer', ownNonce, nonce) })
+    write({ nonce: ownNonce, proof: createProof(fleetKey, 'dialer', ownNonce, nonce) })
     return true
   }
   return {
@@ -150,7 +150,7 @@
     accept: (frame) => {
       const { nonce, proof } = frame as { readonly nonce?: unknown, readonly proof?: unknown }
       if (listenerNonce === undefined) return answerChallenge(nonce)
-      if (!isProof(prove(fleetKey, 'listener', ownNonce, listenerNonce), proof)) return false
+      if (!isValidProof(createProof(fleetKey, 'listener', ownNonce, listenerNonce), proof)) return false
       return finish()
     }
   }
--- a/src/adapters/peerTcp/_lib/createFrameReader.ts
+++ b/src/adapters/peerTcp/_lib/createFrameReader.ts
@@ -17,7 +17,7 @@
   let chunks: Uint8Array[] = []
   let held = 0
   let needed = LENGTH_BYTES
-  let inLength = true
+  let isReadingLength = true
 
   const hasNeeded = (): boolean => held >= needed
 
@@ -31,14 +31,14 @@
 
   const readLength = (): boolean => {
     needed = takeNeeded().readUInt32BE(0)
-    inLength = false
+    isReadingLength = false
     return needed <= maximum
   }
 
   const readBody = (): boolean => {
     const frame = takeNeeded()
     needed = LENGTH_BYTES
-    inLength = true
+    isReadingLength = true
     onFrame(frame)
     return true
   }
@@ -49,7 +49,7 @@
       chunks.push(chunk)
       held += chunk.length
       while (hasNeeded()) {
-        const isValid = inLength ? readLength() : readBody()
+        const isValid = isReadingLength ? readLength() : readBody()
         if (!isValid) return false
       }
       return true
@@ -58,7 +58,7 @@
 }
 
 /** Prepends the length to the bytes of a frame. */
-export const withLength = (bytes: Uint8Array): Buffer => {
+export const prependLength = (bytes: Uint8Array): Buffer => {
   const framed = Buffer.allocUnsafe(LENGTH_BYTES + bytes.length)
   framed.writeUInt32BE(bytes.length, 0)
   framed.set(bytes, LENGTH_BYTES)
--- a/src/adapters/peerTcp/_lib/createPeerLink.ts
+++ b/src/adapters/peerTcp/_lib/createPeerLink.ts
@@ -114,14 +114,14 @@
   // retransmits ever more rarely, so the peer would stay unreachable long after the
   // network has recovered. Each frame is acknowledged within a short time; without
   // that, the connection is closed and the next message opens a new one.
-  const dropStalled = (): void => {
+  const closeIfStalled = (): void => {
     if (unansweredSince === undefined || clock.now() - unansweredSince < options.stallTimeoutMs) return
     connection?.close()
   }
 
   const transmit = (frame: OutgoingFrame): 'sent' | 'unreachable' => {
     lastUsedAt = clock.now()
-    dropStalled()
+    closeIfStalled()
     if (connection === undefined && clock.now() < retryAt) return 'unreachable'
     if (connection === undefined) dial()
     if (isReady) {
--- a/src/adapters/peerTcp/_lib/handshake.ts
+++ b/src/adapters/peerTcp/_lib/handshake.ts
@@ -18,10 +18,10 @@
 
 export const createNonce = (): Buffer => randomBytes(NONCE_BYTES)
 
-export const prove = (fleetKey: string, role: Role, dialerNonce: Uint8Array, listenerNonce: Uint8Array): Buffer =>
+export const createProof = (fleetKey: string, role: Role, dialerNonce: Uint8Array, listenerNonce: Uint8Array): Buffer =>
   createHmac('sha256', fleetKey).update(`dotterelspoke peer ${role}\n`).update(dialerNonce).update(listenerNonce).digest()
 
-export const isProof = (expected: Uint8Array, given: unknown): boolean =>
+export const isValidProof = (expected: Uint8Array, given: unknown): boolean =>
   given instanceof Uint8Array && given.length === expected.length && timingSafeEqual(expected, given)
 
 export const isNonce = (value: unknown): value is Uint8Array => value instanceof Uint8Array && value.length === NONCE_BYTES
--- a/src/adapters/peerTcp/index.ts
+++ b/src/adapters/peerTcp/index.ts
@@ -133,7 +133,7 @@
   const server = createServer(accept)
   server.maxConnections = settings.maximumConnections
 
-  const linkTo = (address: PeerAddress): PeerLink => {
+  const getOrCreateLink = (address: PeerAddress): PeerLink => {
     const name = `${address.host}:${address.port}`
     const known = links.get(name)
     if (known !== undefined) return known
@@ -154,10 +154,10 @@
     }),
     address,
     bytesSent: () => sentBytes,
-    send: (to, message) => { if (!isClosed) linkTo(to).send(message) },
+    send: (to, message) => { if (!isClosed) getOrCreateLink(to).send(message) },
     request: (to, message, timeoutMs) => {
       if (isClosed) return Promise.resolve({ ok: false, error: { kind: 'unreachable', message: 'the transport is closed' } })
-      return linkTo(to).request(message, timeoutMs)
+      return getOrCreateLink(to).request(message, timeoutMs)
     },
     handle: (kind, handler) => { handlers.set(kind, handler as PeerHandler) },
     close: async () => {
--- a/src/adapters/peerTcp/test.ts
+++ b/src/adapters/peerTcp/test.ts
@@ -3,7 +3,7 @@
 import { Encoder } from 'cbor-x'
 import { afterEach, describe, expect, it } from 'vitest'
 import { createPeerTcp } from './index.js'
-import { withLength } from './_lib/createFrameReader.js'
+import { prependLength } from './_lib/createFrameReader.js'
 import { createSystemClock } from '../systemClock/index.js'
 import { createSystemRandom } from '../systemRandom/index.js'
 
@@ -62,9 +62,9 @@
 
   it.each([
     { case: 'a frame that is longer than a handshake may be', bytes: Buffer.from([0, 0, 2, 1]) },
-    { case: 'a frame that is not CBOR', bytes: withLength(Buffer.from([0xff, 0xff])) },
-    { case: 'a proof of the wrong shape', bytes: withLength(new Encoder().encode({ nonce: 'text', proof: 7 })) },
-    { case: 'an empty frame', bytes: withLength(Buffer.alloc(0)) }
+    { case: 'a frame that is not CBOR', bytes: prependLength(Buffer.from([0xff, 0xff])) },
+    { case: 'a proof of the wrong shape', bytes: prependLength(new Encoder().encode({ nonce: 'text', proof: 7 })) },
+    { case: 'an empty frame', bytes: prependLength(Buffer.alloc(0)) }
   ])('closes a connection on $case, and keeps serving others', async ({ bytes }) => {
     const listener = await openTransport()
     const peer = await openTransport()
@@ -113,14 +113,14 @@
   // Guards against losing a peer for minutes after the network has dropped packets.
   it('closes a connection that drops all data, and opens a new one', async () => {
     const listener = await openTransport({ acknowledgeDelayMs: 1 })
-    let isSwallowing = false
+    let isDropping = false
     const link = createServer((near) => {
       const far = openSocket(listener.address().port)
-      const isCaught = (): boolean => isSwallowing
-      let wasCaught = false
+      const shouldDrop = (): boolean => isDropping
+      let hasDropped = false
       const pass = (to: Socket) => (chunk: Buffer): void => {
-        wasCaught ||= isCaught()
-        if (!wasCaught) to.write(chunk)
+        hasDropped ||= shouldDrop()
+        if (!hasDropped) to.write(chunk)
       }
       near.on('data', pass(far)).on('error', () => {})
       far.on('data', pass(near))
@@ -131,9 +131,9 @@
     const address = { host: '127.0.0.1', port: (link.address() as AddressInfo).port }
     const peer = await openTransport({ stallTimeoutMs: 30 })
     await peer.request(address, lookup, TIMEOUT_MS)
-    isSwallowing = true
+    isDropping = true
     await peer.request(address, lookup, 100)
-    isSwallowing = false
+    isDropping = false
     let isServed = false
     for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS && !isServed; attempt++) isServed = (await peer.request(address, lookup, 100)).ok
     expect(isServed).toBe(true)
--- a/src/adapters/platformHttp/_lib/sendOnce.ts
+++ b/src/adapters/platformHttp/_lib/sendOnce.ts
@@ -48,22 +48,22 @@
     const chunks: Buffer[] = []
     let size = 0
     let started: Dispatcher.DispatchController | undefined
-    let finished = false
+    let isFinished = false
     let status = 0
     let headers: Reply['headers'] = {}
 
     const finish = (result: Result<Reply, ExchangeError>): void => {
-      if (finished) return
-      finished = true
+      if (isFinished) return
+      isFinished = true
       clearTimeout(timer)
       resolve(result)
     }
     const fail = (message: string): void => finish(failure({ kind: started === undefined ? 'notSent' : 'noReply', message }))
-    const giveUp = (message: string): void => {
+    const failAndAbort = (message: string): void => {
       fail(message)
       started?.abort(new Error(message))
     }
-    const timer = setTimeout(() => giveUp(`no reply within ${exchange.timeoutMs} ms`), exchange.timeoutMs)
+    const timer = setTimeout(() => failAndAbort(`no reply within ${exchange.timeoutMs} ms`), exchange.timeoutMs)
 
     pool.dispatch({
       method: exchange.method,
@@ -74,7 +74,7 @@
       bodyTimeout: 0
     }, {
       onRequestStart: (controller) => {
-        if (finished) return controller.abort(new Error('timed out before it was sent'))
+        if (isFinished) return controller.abort(new Error('timed out before it was sent'))
         started = controller
       },
       onResponseStart: (_controller, statusCode, replyHeaders) => {
@@ -84,7 +84,7 @@
       onResponseData: (_controller, chunk) => {
         chunks.push(chunk)
         size += chunk.byteLength
-        if (size > MAXIMUM_REPLY_BYTES) giveUp('the reply exceeds the size limit')
+        if (size > MAXIMUM_REPLY_BYTES) failAndAbort('the reply exceeds the size limit')
       },
       onResponseEnd: () => finish(success({ status, headers, body: Buffer.concat(chunks) })),
       onResponseError: (_controller, error) => fail(error.message)
--- a/src/adapters/platformHttp/index.ts
+++ b/src/adapters/platformHttp/index.ts
@@ -57,14 +57,14 @@
   const readJson = async <Value>(path: string, schema: z.ZodType<Value>, extraTimeMs = 0): Promise<Result<Value, PlatformError>> => {
     const reply = await read(path, extraTimeMs)
     if (!reply.ok) return reply
-    if (!isSuccessStatus(reply.value.status)) return failure(explainRead(reply.value))
+    if (!isSuccessStatus(reply.value.status)) return failure(toReadError(reply.value))
     return parseJson(reply.value.body, schema)
   }
 
   const write = async (exchange: Omit<Exchange, 'timeoutMs'>): Promise<Result<Reply, PlatformError>> => {
     const reply = await sendOnce(pool, { ...exchange, timeoutMs })
     if (!reply.ok) return failure(reply.error.kind === 'notSent' ? unavailable(reply.error) : outcomeUnknown(reply.error.message))
-    if (!isSuccessStatus(reply.value.status)) return failure(explainWrite(reply.value))
+    if (!isSuccessStatus(reply.value.status)) return failure(toWriteError(reply.value))
     return reply
   }
 
@@ -80,7 +80,7 @@
       const reply = await read(objectPath(name))
       if (!reply.ok) return reply
       if (reply.value.status === 404) return success(undefined)
-      if (!isSuccessStatus(reply.value.status)) return failure(explainRead(reply.value))
+      if (!isSuccessStatus(reply.value.status)) return failure(toReadError(reply.value))
       const version = readVersion(reply.value)
       if (version === undefined) return failure({ kind: 'unavailable', message: 'the reply carries no version' })
       return success({ name, version, bytes: new Uint8Array(reply.value.body) })
@@ -120,12 +120,12 @@
 
 const describeStatus = (reply: Reply): string => `status ${reply.status}: ${reply.body.toString('utf8', 0, 200)}`
 
-const explainRead = (reply: Reply): PlatformError =>
+const toReadError = (reply: Reply): PlatformError =>
   STATUS_ERRORS[reply.status]?.(describeStatus(reply)) ?? { kind: 'unavailable', message: describeStatus(reply) }
 
 // A status outside of the contract (such as 502 from a proxy) doesn't tell
 // whether the write took effect.
-const explainWrite = (reply: Reply): PlatformError =>
+const toWriteError = (reply: Reply): PlatformError =>
   STATUS_ERRORS[reply.status]?.(describeStatus(reply)) ?? outcomeUnknown(describeStatus(reply))
 
 const readVersion = ({ headers }: Reply): ObjectVersion | undefined => {
--- a/src/daemon/startGateway/index.ts
+++ b/src/daemon/startGateway/index.ts
@@ -5,7 +5,7 @@
 import { createBoundedLogger } from '../../adapters/boundedLogger/index.js'
 import { createDeferredMetrics } from '../../adapters/deferredMetrics/index.js'
 import { createGatewayHttp } from '../../adapters/gatewayHttp/index.js'
-import type { EarlyListener } from '../../adapters/earlyListener/index.js'
+import type { HandoverListener } from '../../adapters/handoverListener/index.js'
 import { createInstanceHttp } from '../../adapters/instanceHttp/index.js'
 import { createPeerTcp } from '../../adapters/peerTcp/index.js'
 import { createProbeHttp } from '../../adapters/probeHttp/index.js'
@@ -21,7 +21,7 @@
   readonly settings: GatewaySettings
   readonly logger: Logger
   /** The callers' listener, where it was opened before the program was loaded. */
-  readonly earlyListener?: EarlyListener | undefined
+  readonly earlyListener?: HandoverListener | undefined
   /** Takes the steps of the start; they are written to the log. */
   readonly timeline?: StartTimeline
   readonly dialect: GatewayDialect
@@ -124,7 +124,7 @@
   const gatewayHttp = createGatewayHttp({
     host: settings.callerAddress.host,
     port: settings.callerAddress.port,
-    earlyListener: options.earlyListener,
+    handoverListener: options.earlyListener,
     clock,
     logger,
     dialect,
--- a/test/platform/_lib/startGatewayFleet.ts
+++ b/test/platform/_lib/startGatewayFleet.ts
@@ -3,7 +3,7 @@
  * real sockets on free ports. Everything ends with `close`.
  */
 import { createDialect } from '../../../platform/createDialect/index.js'
-import { createMemorySource } from '../../../platform/createMemorySource/index.js'
+import { createPromptCacheSource } from '../../../platform/createPromptCacheSource/index.js'
 import { createConfigurationSource } from '../../../platform/createConfigurationSource/index.js'
 import { createInstanceSource } from '../../../platform/createInstanceSource/index.js'
 import { createZoneDrainSource } from '../../../platform/createZoneDrainSource/index.js'
@@ -69,7 +69,7 @@
       configurationSource: createConfigurationSource(client),
       instanceSource: createInstanceSource(client),
       zoneDrainSource: createZoneDrainSource(client),
-      engineMemory: createMemorySource(),
+      engineMemory: createPromptCacheSource(),
       readinessPath: '/readyz'
     })
   }
--- a/test/platform/knowledge.test.ts
+++ b/test/platform/knowledge.test.ts
@@ -146,10 +146,10 @@
   // A watch that heard nothing while the store forgot its changes would keep a server that left.
   test('is read anew when the store has forgotten its history', async () => {
     const fleet = await start()
-    fleet.store.setDeaf(true)
+    fleet.store.setWatchMuted(true)
     fleet.store.remove('servers', 'plain-1')
     fleet.store.forgetHistory()
-    fleet.store.setDeaf(false)
+    fleet.store.setWatchMuted(false)
     await waitFor('the removal to be noticed', async () => fleet.logs.some(({ message, backendServer }) => message === 'backend server removed' && backendServer === 'plain-1'))
   })
 })
@@ -180,7 +180,7 @@
     await sendChat(fleet, 0, 'zz')
     const [keeper] = findKeeper(fleet, 'zz')
     await fleet.restart(0)
-    await waitFor('the engines to be asked', async () => fleet.backends.get(keeper!)!.countLists() > 0)
+    await waitFor('the engines to be asked', async () => fleet.backends.get(keeper!)!.countCacheReads() > 0)
     await sendChat(fleet, 0, 'zz')
     expect(findKeeper(fleet, 'zz')).toEqual([keeper])
   })
