--- a/src/adapters/backendHttp/_lib/createExchange.ts
+++ b/src/adapters/backendHttp/_lib/createExchange.ts
@@ -79,8 +79,8 @@
 
   /**
    * undici calls this just before it writes to a connected socket. From here on
-   * the request may have run, even if the write itself fails: a kept-alive
-   * socket that the server has closed takes bytes as readily as a live one.
+   * the request may have run, even if the write itself fails: a keep-alive
+   * socket that the server has closed accepts bytes just like an open one.
    */
   const onRequestStart = (started: Dispatcher.DispatchController): void => {
     if (isWritten) {
--- a/src/adapters/backendHttp/test.ts
+++ b/src/adapters/backendHttp/test.ts
@@ -83,7 +83,7 @@
     ['cut inside a chunk', answerThenCut({ 'transfer-encoding': 'chunked' }, '9\r\nabc'), 'abc|cut'],
     ['with a broken chunk', answerThenCut({ 'transfer-encoding': 'chunked' }, '3\r\nabc\r\nzz\r\n'), 'abc|cut'],
     ['ended by the close alone', answerThenCut({}, 'abc'), 'abc|cut']
-  ])('gives a body that is %s', async (_name, step, expected) => {
+  ])('returns a body that is %s', async (_name, step, expected) => {
     const backend = await startBackend(step)
     const result = await startClient().send(createRequest(backend.url), never)
     expect(result.ok && await readBody(result.value)).toBe(expected)
--- a/src/adapters/callerHttp/index.ts
+++ b/src/adapters/callerHttp/index.ts
@@ -27,7 +27,7 @@
   readonly maximumHeaderBytes?: number
   /** Time for a caller to send all headers, in milliseconds; 10,000 by default. */
   readonly headerTimeoutMs?: number
-  /** Time for a caller to send the whole request, in milliseconds; 60,000 by default. */
+  /** Time for a caller to send the complete request, in milliseconds; 60,000 by default. */
   readonly requestTimeoutMs?: number
   /** Maximum wait for a caller that does not read its answer, in milliseconds; 30,000 by default. */
   readonly writeTimeoutMs?: number
--- a/src/adapters/gatewayHttp/_lib/createPauseDetector.test.ts
+++ b/src/adapters/gatewayHttp/_lib/createPauseDetector.test.ts
@@ -18,7 +18,7 @@
   }
 }
 
-describe('createPauseWatch', () => {
+describe('createPauseDetector', () => {
   test('calls back at once while the event loop runs, and when it is a little late', async () => {
     const { clock, acts, standStill, act } = startDetector()
     await clock.advanceAndSettle(5_000)
--- a/src/adapters/gatewayHttp/_lib/createPauseDetector.ts
+++ b/src/adapters/gatewayHttp/_lib/createPauseDetector.ts
@@ -1,12 +1,12 @@
 /**
  * Detects that the process was paused. Data that arrived during the pause is
- * still in the kernel's buffers: a caller's request is read before the close
- * that followed it.
+ * still in the kernel's buffers: a request is read before the close that followed
+ * it, and would be forwarded for a caller that has already disconnected.
  */
 import type { Clock, Timer } from '../../../types/index.js'
 
 export type PauseDetector = {
-  /** Calls back at once or, shortly after a pause, once the closes that arrived during the pause have been read. */
+  /** Calls `act` at once or, shortly after a pause, once the closes that arrived during the pause have been read. */
   readonly runWhenCaughtUp: (act: () => void) => void
   readonly stop: () => void
 }
@@ -20,7 +20,7 @@
 /** One turn of the event loop reads the request, the next one reads the close that follows. With a fixed delay, a slow VM might not have read it. */
 const afterNextTurn = (act: () => void): void => { setImmediate(() => setImmediate(act)) }
 
-/** Creates the watch, which runs until it is stopped. */
+/** Creates the detector, which runs until it is stopped. */
 export const createPauseDetector = (clock: Pick<Clock, 'now' | 'wallTime' | 'setTimer'>, wait: (act: () => void) => void = afterNextTurn): PauseDetector => {
   let checkedAt = clock.now()
   let checkedWallTime = clock.wallTime()
--- a/src/adapters/handoverListener/index.ts
+++ b/src/adapters/handoverListener/index.ts
@@ -1,7 +1,7 @@
 /**
- * Opens the callers' listener before the program that serves it is loaded.
- * Otherwise a starting node would refuse connections until its program is
- * loaded, and a refused caller retries late or not at all.
+ * A listener that is opened before the program behind it is loaded, and is then
+ * handed over to the program's server. Otherwise a starting node would refuse
+ * connections meanwhile, and a refused caller retries late or not at all.
  */
 import { createServer } from 'node:net'
 import type { AddressInfo, Server, Socket } from 'node:net'
@@ -24,8 +24,8 @@
  * @returns The listener.
  *
  * @example
- * const early = openEarlyListener({ host: '127.0.0.1', port: 8080 })
- * early.handOver(createServer(handle))
+ * const listener = openHandoverListener({ host: '127.0.0.1', port: 8080 })
+ * listener.handOver(createServer(handle))
  */
 export const openHandoverListener = ({ host, port }: PeerAddress): HandoverListener => {
   const held = new Set<Socket>()
--- a/src/adapters/handoverListener/test.ts
+++ b/src/adapters/handoverListener/test.ts
@@ -36,7 +36,7 @@
 
 const passTurns = (): Promise<void> => new Promise((resolve) => { setTimeout(resolve, 30) })
 
-describe('openEarlyListener', () => {
+describe('openHandoverListener', () => {
   // Guards against refusing callers that connect before the program is loaded: they retry only a second later.
   test('keeps connections and the bytes they send until the hand-over', async () => {
     const paths: string[] = []
--- a/src/adapters/peerTcp/index.ts
+++ b/src/adapters/peerTcp/index.ts
@@ -71,7 +71,7 @@
  * Creates the transport of one router.
  *
  * A malformed frame, a wrong key or a frame over the limit closes the
- * connection it came on and nothing else. Messages to a peer that can't be
+ * connection it was received on and no other. Messages to a peer that can't be
  * reached are dropped; requests to it fail with `unreachable`.
  *
  * @param options - Where to listen, the fleet key, the limits in bytes and milliseconds, the clock and the random source.
--- a/src/adapters/platformHttp/_lib/sendOnce.ts
+++ b/src/adapters/platformHttp/_lib/sendOnce.ts
@@ -21,7 +21,7 @@
 }
 
 export type ExchangeError = {
-  /** `notSent` when no byte was written; `noReply` when the request went out, at least in part. */
+  /** `notSent` when no byte was written; `noReply` when the request was sent, at least in part. */
   readonly kind: 'notSent' | 'noReply'
   readonly message: string
 }
