--- a/src/cli/_lib/askRouters.ts
+++ b/src/cli/_lib/askRouters.ts
@@ -1,4 +1,4 @@
-/** Asking every known router for its status, all at once. */
+/** Queries the status of every known router, in parallel batches. */
 import type { OperatorClient } from '../../adapters/operatorClient/index.js'
 import type { RouterAnswer } from '../../decisions/evaluateRollout/index.js'
 import { mapInBatches } from '../../kernel/index.js'
@@ -9,7 +9,7 @@
 export type RouterStatuses = {
   readonly answers: readonly RouterAnswer[]
   readonly statuses: readonly NodeStatus[]
-  /** `undefined` when the platform's list could not be read. */
+  /** `undefined` if the VM list of the platform could not be read. */
   readonly vms: readonly Vm[] | undefined
 }
 
@@ -35,7 +35,7 @@
   }
 }
 
-/** URLs that were given stand alone; else the VM list with the port that all routers use. */
+/** Returns the router URLs that were given; without any, one for each router of the VM list, at the operator port that all routers share. */
 export const findRouterUrls = (environment: CommandEnvironment, flags: RouterFlags, vms: readonly Vm[]): readonly string[] => {
   const given = flags.router ?? environment.readVariable('DOTTERELSPOKE_ROUTER_URLS')?.split(',') ?? []
   const urls = given.map((url) => url.trim()).filter((url) => URL.canParse(url))
--- a/src/cli/_lib/commandEnvironment.ts
+++ b/src/cli/_lib/commandEnvironment.ts
@@ -1,4 +1,4 @@
-/** What a command takes from the process, so that tests can run it in theirs. */
+/** The parts of the process that a command uses; tests replace them. */
 import { readFileSync } from 'node:fs'
 import { createSystemClock } from '../../adapters/systemClock/index.js'
 import { createSystemRandom } from '../../adapters/systemRandom/index.js'
--- a/src/cli/_lib/parseNumber.ts
+++ b/src/cli/_lib/parseNumber.ts
@@ -1,4 +1,4 @@
-/** Numbers as flags give them; a wrong one is a usage error that says what is needed. */
+/** Parsers of numeric flags; an invalid value is a usage error that names the accepted range. */
 import { InvalidArgumentError } from 'commander'
 
 const HIGHEST_PORT = 65_535
--- a/src/cli/_lib/platformSession.ts
+++ b/src/cli/_lib/platformSession.ts
@@ -1,4 +1,4 @@
-/** The flags of commands that talk to the platform and to routers, and the connections behind them. */
+/** Flags of the commands that use the platform and the routers, and the clients for both. */
 import type { Command } from 'commander'
 import { createOperatorClient, type OperatorClient } from '../../adapters/operatorClient/index.js'
 import { createPlatformHttp } from '../../adapters/platformHttp/index.js'
@@ -38,14 +38,14 @@
 export const addOperatorFlag = (command: Command): Command => command
   .option('--as <name>', 'your name for the audit trail (DOTTERELSPOKE_OPERATOR)')
 
-/** Reports a wrong or missing setting and ends the command with its code. */
+/** Prints what is wrong with a setting and sets the exit code of a usage error. */
 export const refuseUsage = (environment: CommandEnvironment, message: string): undefined => {
   environment.printError(message)
   environment.setExitCode(exitCodes.usage)
   return undefined
 }
 
-/** Runs a command with the platform; the connection is closed whatever happens. */
+/** Runs a command with a platform client, which is closed even if the command fails. */
 export const withPlatform = async (environment: CommandEnvironment, flags: PlatformFlags, run: (session: PlatformSession) => Promise<void>): Promise<void> => {
   const url = flags.platform ?? environment.readVariable('DOTTERELSPOKE_PLATFORM_URL') ?? ''
   if (!URL.canParse(url)) return refuseUsage(environment, url === '' ? 'the platform is missing: give --platform or set DOTTERELSPOKE_PLATFORM_URL' : `--platform "${url}" is not a URL`)
--- a/src/cli/_lib/readLogRecords.ts
+++ b/src/cli/_lib/readLogRecords.ts
@@ -1,9 +1,9 @@
-/** Log files as the commands read them. */
+/** Reads log files for the commands. */
 import type { LogRecord } from '../../decisions/explainRequest/index.js'
 import { parseLogLine } from '../../decisions/parseLogLine/index.js'
 import type { CommandEnvironment } from './commandEnvironment.js'
 
-/** Reads the records of files, in the order of the files; lines that are none are passed over. */
+/** Reads the records of the files in the given order and skips lines that are not log records. */
 export const readLogRecords = (environment: Pick<CommandEnvironment, 'readText'>, files: readonly string[]): readonly LogRecord[] =>
   files
     .flatMap((file) => environment.readText(file).split('\n'))
--- a/src/cli/_lib/render.ts
+++ b/src/cli/_lib/render.ts
@@ -1,4 +1,4 @@
-/** Tables and lines for people. */
+/** Renders tables and lines for the terminal. */
 import CliTable from 'cli-table3'
 import type { Rollout } from '../../decisions/evaluateRollout/index.js'
 import { formatIsoTime } from '../../kernel/index.js'
@@ -12,7 +12,7 @@
   return table.toString()
 }
 
-/** Control characters from a stored text must not reach the terminal. */
+/** Escapes control characters: a stored text must not send control sequences to the terminal. */
 export const escapeControls = (text: string): string => text.replace(/\p{Cc}/gu, (character) => `\\u${character.charCodeAt(0).toString(16).padStart(4, '0')}`)
 
 export const renderChanges = (changes: readonly (SheetChange | AuditChange)[], count = changes.length): string => {
--- a/src/cli/_lib/reportOutcome.ts
+++ b/src/cli/_lib/reportOutcome.ts
@@ -1,4 +1,4 @@
-/** What each outcome of an apply means to an operator, in words and as exit code. */
+/** Maps the outcome of an apply to a message for the operator and an exit code. */
 import type { ApplyOutcome } from '../../services/configurationStore/index.js'
 import { exitCodes } from '../exitCodes.js'
 import { renderChanges, renderGeneration } from './render.js'
--- a/src/cli/_lib/waitForRollout.ts
+++ b/src/cli/_lib/waitForRollout.ts
@@ -1,4 +1,4 @@
-/** Waiting until every router confirms a generation. */
+/** Waits until every router confirms a generation. */
 import { evaluateRollout, type Rollout } from '../../decisions/evaluateRollout/index.js'
 import type { NodeStatus, Platform } from '../../types/index.js'
 import { askRouters } from './askRouters.js'
@@ -8,7 +8,7 @@
 export type RolloutWait = {
   readonly generation: number
   readonly waitSeconds: number
-  /** A further condition on what the routers say; none by default. */
+  /** Additional condition on the statuses of the routers; none by default. */
   readonly isDone?: (statuses: readonly NodeStatus[], rollout: Rollout) => boolean
 }
 
--- a/src/cli/audit/index.ts
+++ b/src/cli/audit/index.ts
@@ -1,4 +1,4 @@
-/** `dotterelspoke audit`: who changed what, when, and what became of it. */
+/** `dotterelspoke audit`: lists configuration changes with their operator, time and outcome. */
 import { Command } from 'commander'
 import { createProcessEnvironment, type CommandEnvironment } from '../_lib/commandEnvironment.js'
 import { addPlatformFlags, refuseUsage, withPlatform, type PlatformFlags } from '../_lib/platformSession.js'
@@ -13,7 +13,7 @@
 /**
  * Creates the command.
  *
- * @param environment - What the command takes from the process.
+ * @param environment - Access to the process; the real process by default.
  * @returns The command for the program.
  *
  * @example
--- a/src/cli/createProgram/index.ts
+++ b/src/cli/createProgram/index.ts
@@ -19,14 +19,14 @@
   .addHelpText('after', '\nExample:\n  dotterelspoke version')
   .action(() => { console.log(version) })
 
-/** Commander ends with 1 for a wrong flag; the project's code for that is 2. */
+/** Commander exits with 1 on a usage error; this program exits with 2. */
 const exitWithProjectCode = (command: Command): void => {
   command.exitOverride((error) => process.exit(error.exitCode === 0 ? exitCodes.success : exitCodes.usage))
   command.commands.forEach(exitWithProjectCode)
 }
 
 /**
- * Creates the whole command line.
+ * Creates the program with all its commands.
  *
  * @returns The program, ready to parse arguments.
  *
--- a/src/cli/demo/_lib/startDemoFleet.ts
+++ b/src/cli/demo/_lib/startDemoFleet.ts
@@ -1,7 +1,7 @@
 /**
- * A whole small fleet in one process: the platform, a stand-in for each
- * backend server of a sheet, and one router an availability zone, all over
- * loopback with the real adapters.
+ * Starts a small fleet in one process: the platform, a stand-in for each
+ * backend server of a sheet, and one router per availability zone. They
+ * communicate over loopback through the real adapters.
  */
 import { createPlatformHttp } from '../../../adapters/platformHttp/index.js'
 import { createSystemClock } from '../../../adapters/systemClock/index.js'
@@ -27,14 +27,14 @@
 
 export type DemoOptions = {
   readonly sheet: Sheet
-  /** Port of the first router for callers; 0 takes a free one. */
+  /** Caller port of the first router; 0 selects a free port. */
   readonly port: number
   readonly operatorToken: string
 }
 
 const FLEET_KEY = 'the fleet key of the demo'
 const READY_POLL_MS = 20
-/** The stand-ins hold timers for streams that may be resumed; these must not hold up the end of the demo. */
+/** The stand-ins keep timers for resumable streams; these must not keep the process alive after the demo. */
 const clock = createSystemClock({ keepsProcessAlive: false })
 
 const starters: Readonly<Record<BackendServiceKind, (server: BackendServer) => Promise<EmulatedServer>>> = {
@@ -83,7 +83,7 @@
   return await response.json() as NodeStatus
 }
 
-/** Waits until the router has the configuration and knows its peers. */
+/** Waits until the router is ready and lists every router as a member. */
 const waitUntilReady = async (router: Router, routers: number, operatorToken: string): Promise<void> => {
   for (;;) {
     const status = await readStatus(router, operatorToken)
@@ -107,7 +107,7 @@
 /**
  * Starts the fleet and puts the sheet in force on every router.
  *
- * @param options - The sheet, whose backend servers get a stand-in each, the port and the operator token.
+ * @param options - The sheet (each of its backend servers gets a stand-in), the port and the operator token.
  * @returns The running fleet.
  */
 export const startDemoFleet = async (options: DemoOptions): Promise<DemoFleet> => {
--- a/src/cli/demo/index.ts
+++ b/src/cli/demo/index.ts
@@ -1,4 +1,4 @@
-/** `dotterelspoke demo`: the whole path in one process. */
+/** `dotterelspoke demo`: starts a complete fleet in one process and sends a chat through it. */
 import { readFileSync } from 'node:fs'
 import { Command } from 'commander'
 import { parseSheet } from '../../decisions/parseSheet/index.js'
@@ -14,7 +14,7 @@
 const KEY = 'demo-key-village-shops'
 const MODEL = 'shop-assistant'
 const OPERATOR_TOKEN = 'demo-operator-token'
-/** Long enough for the routers' counts of requests in flight to reach each other. */
+/** Pause between two turns, long enough for the routers to exchange their counts of requests in flight. */
 const PAUSE_MS = 1_000
 const SUGGESTED_PORT = 8080
 
@@ -36,7 +36,7 @@
 
 const pause = (): Promise<void> => new Promise((resolve) => { setTimeout(resolve, PAUSE_MS) })
 
-/** Sends a chat turn by turn, with a pause, each through another router. */
+/** Sends the turns of a chat with a pause between them, each through the next router. */
 const sendChat = async (fleet: DemoFleet): Promise<readonly ChatTurn[]> => {
   const turns: ChatTurn[] = []
   let messages: readonly ChatMessage[] = [{ role: 'system', content: 'You help village shopkeepers to restock. Answer briefly.' }]
--- a/src/cli/drain/index.ts
+++ b/src/cli/drain/index.ts
@@ -1,4 +1,4 @@
-/** `dotterelspoke drain`: stops new work for one backend server, as a change of the configuration. */
+/** `dotterelspoke drain`: stops new work for one backend server through a configuration change. */
 import { Command } from 'commander'
 import { editPlannedStop, type DrainEdit } from '../../decisions/editPlannedStop/index.js'
 import type { Rollout } from '../../decisions/evaluateRollout/index.js'
@@ -21,7 +21,7 @@
   readonly wait?: string
 }
 
-/** Edits of different records commute, so that a lost race is planned anew; so many losses in a row mean that something else is wrong. */
+/** Edits of different records commute, so an edit that met a conflict is planned again on the new generation. This many conflicts in a row point to another fault. */
 const MAXIMUM_TRIES = 5
 const MAXIMUM_WAIT_SECONDS = 86_400
 
@@ -30,7 +30,7 @@
 /**
  * Creates the command.
  *
- * @param environment - What the command takes from the process.
+ * @param environment - Access to the process; the real process by default.
  * @returns The command for the program.
  *
  * @example
@@ -74,7 +74,7 @@
   return { kind: 'start', backendServer, startsAt, ...(endsAt === undefined ? {} : { endsAt }) }
 }
 
-/** `undefined` after a refusal has been printed. */
+/** Returns `undefined` if the edit was refused and the reason has been printed. */
 const applyEdit = async (environment: CommandEnvironment, flags: DrainFlags, { platform, store }: PlatformSession, edit: DrainEdit, operator: string): Promise<ApplyOutcome | undefined> => {
   let outcome: ApplyOutcome | undefined
   for (let tries = 1; tries <= MAXIMUM_TRIES; tries += 1) {
@@ -104,9 +104,9 @@
 }
 
 /**
- * A router that was not asked may have requests in flight, and one that does
- * not see the stop yet may send more: each must answer, count the server as
- * out of work, and have nothing in flight there.
+ * A router that did not answer may have requests in flight, and a router that
+ * has not applied the drain may send more. So every router must answer, report
+ * the backend server as leaving or unreachable, and have nothing in flight to it.
  */
 const isDrained = (statuses: readonly NodeStatus[], { nodes }: Rollout, backendServer: string): boolean => {
   const isAsked = nodes.every(({ state }) => state === 'inForce' || state === 'gone')
--- a/src/cli/emulate/index.ts
+++ b/src/cli/emulate/index.ts
@@ -1,4 +1,4 @@
-/** `dotterelspoke emulate`: the stand-ins of the platform and of backend servers as processes. */
+/** `dotterelspoke emulate`: runs a stand-in of the platform or of a backend server as a process. */
 import { Command } from 'commander'
 import { createSystemClock } from '../../adapters/systemClock/index.js'
 import type { EmulatedServer } from '../../emulator/_lib/listen.js'
@@ -114,6 +114,6 @@
   process.stdout.write(`${JSON.stringify({ kind, listening: server.url, control: server.controlUrl })}\n`)
   await stopped
   await server.close()
-  // Timers of jobs that are cut off here would keep the process alive.
+  // Pending timers of aborted jobs would keep the process alive.
   process.exit(0)
 }
--- a/src/cli/explain/index.ts
+++ b/src/cli/explain/index.ts
@@ -1,4 +1,4 @@
-/** `dotterelspoke explain`: the story of one request, out of the logs of all nodes that had it. */
+/** `dotterelspoke explain`: prints the timeline of one request from the logs of all nodes that handled it. */
 import { Command } from 'commander'
 import { explainRequest, type LogRecord } from '../../decisions/explainRequest/index.js'
 import { formatIsoTime } from '../../kernel/index.js'
@@ -23,7 +23,7 @@
 /**
  * Creates the command.
  *
- * @param environment - What it takes from the process.
+ * @param environment - Access to the process.
  * @returns The command, for the program.
  *
  * @example
--- a/src/cli/load/index.ts
+++ b/src/cli/load/index.ts
@@ -1,4 +1,4 @@
-/** `dotterelspoke load`: a seeded open loop of returning chats, plain calls and overnight work. */
+/** `dotterelspoke load`: sends a seeded open-loop load of multi-turn chats, plain calls and overnight work, and checks every answer. */
 import { readFile } from 'node:fs/promises'
 import { Command } from 'commander'
 import { createSeededRandom } from '../../adapters/seededRandom/index.js'
@@ -10,7 +10,7 @@
 import { parseFromZero, parsePositive, parseWhole } from '../_lib/parseNumber.js'
 import { exitCodes } from '../exitCodes.js'
 
-/** Options of the plan that are flags of the same name. */
+/** Options of the load plan that a flag of the same name sets. */
 type PlanFlags = Pick<LoadPlanOptions, 'rate' | 'accountSkew' | 'systemTokens' | 'questionTokens' | 'answerTokens' | 'model' | 'overnightModel' | 'lookupPath' | 'orderPath'>
 
 type LoadFlags = PlanFlags & {
--- a/src/cli/logs/index.ts
+++ b/src/cli/logs/index.ts
@@ -1,4 +1,4 @@
-/** `dotterelspoke logs`: what the logs of nodes say of all their requests together. */
+/** `dotterelspoke logs`: summarizes all requests in the logs of the nodes. */
 import { Command } from 'commander'
 import { summarizeLog, type LogSummary } from '../../decisions/summarizeLog/index.js'
 import { formatIsoTime } from '../../kernel/index.js'
@@ -20,7 +20,7 @@
   )
 }
 
-/** Complete requests as `#`, the others as `!`, on one scale for all periods. */
+/** Renders complete requests as `#` and all others as `!`, on the same scale for all periods. */
 const renderPeriods = ({ periods }: LogSummary): string => {
   const most = Math.max(...periods.map(({ complete, ended }) => complete + ended))
   const scale = (count: number): number => Math.ceil(BAR_CHARACTERS * count / most)
@@ -50,7 +50,7 @@
 /**
  * Creates the command.
  *
- * @param environment - What it takes from the process.
+ * @param environment - Access to the process.
  * @returns The command with its subcommands, for the program.
  *
  * @example
--- a/src/cli/router/index.ts
+++ b/src/cli/router/index.ts
@@ -1,4 +1,4 @@
-/** `dotterelspoke router`: the daemon that runs on each entry VM. */
+/** `dotterelspoke router`: runs the router daemon of an entry VM. */
 import { readFileSync } from 'node:fs'
 import { Command } from 'commander'
 import { startRouter } from '../../daemon/startRouter/index.js'
@@ -39,8 +39,9 @@
   const stop = (): void => { router.stop().catch((error: unknown) => { throw error }) }
   process.on('SIGTERM', stop)
   process.on('SIGINT', stop)
-  // Printed last: who reads that the router is ready may signal it at once,
-  // and a signal without a handler would cut off what is in flight.
+  // Printed after the signal handlers are set: a process that reads this line
+  // may signal the router at once, and without a handler the signal would cut
+  // off requests in flight.
   console.log(JSON.stringify({ kind: 'router', nodeId: settings.value.nodeId, ...router.addresses }))
 }
 
--- a/src/cli/settings/index.ts
+++ b/src/cli/settings/index.ts
@@ -1,4 +1,4 @@
-/** `dotterelspoke settings`: the settings of the router, as the docs list them. */
+/** `dotterelspoke settings`: prints the settings of the router as a page for the docs. */
 import { Command } from 'commander'
 import { renderSettingsPage } from '../../settings/index.js'
 
--- a/src/cli/sheet/_lib/applyCommand.ts
+++ b/src/cli/sheet/_lib/applyCommand.ts
@@ -1,4 +1,4 @@
-/** `sheet apply`: puts a sheet in force and, if asked, waits until every router has it. */
+/** `sheet apply`: puts a sheet in force and, with `--wait`, waits until every router confirms it. */
 import { Command } from 'commander'
 import { isDrainName } from '../../../decisions/editPlannedStop/index.js'
 import { computeSha256 } from '../../../kernel/index.js'
@@ -71,7 +71,7 @@
   for (const change of outcome.changes.filter(endsDrain)) environment.printError(`note: this sheet ends the drain of ${change.name}; its backend server gets new work again`)
 }
 
-/** A sheet exported before a drain knows nothing of it and would end it unseen. */
+/** A sheet that was exported before a drain lacks its row; applying the sheet would end the drain without notice. */
 const endsDrain = ({ record, name, after }: SheetChange): boolean => record === 'plannedStops' && isDrainName(name) && after === undefined
 
 type Accepted = Extract<ApplyOutcome, { readonly kind: 'applied' | 'unchanged' }>
@@ -88,7 +88,7 @@
 
 type ProblemRecord = { readonly operator: string, readonly applyId: string, readonly text: string, readonly problems: readonly SheetProblem[] }
 
-/** A refused sheet is a refused change: the audit trail shows it, as far as the platform can be reached. */
+/** Records a sheet with problems in the audit trail as a refused change, if the platform can be reached. */
 const recordProblems = (environment: CommandEnvironment, flags: ApplyFlags, { operator, applyId, text, problems }: ProblemRecord): Promise<void> =>
   withPlatform(environment, flags, async ({ store, auditTrail }) => {
     const root = await store.readRoot()
--- a/src/cli/sheet/_lib/readSheetFile.ts
+++ b/src/cli/sheet/_lib/readSheetFile.ts
@@ -1,4 +1,4 @@
-/** Reading of a sheet from a file, with every problem printed at its place. */
+/** Reads a sheet from a file and prints every problem with its line and column. */
 import { parseSheet } from '../../../decisions/parseSheet/index.js'
 import type { Result, Sheet, SheetProblem } from '../../../types/index.js'
 import type { CommandEnvironment } from '../../_lib/commandEnvironment.js'
--- a/src/cli/sheet/_lib/readingCommands.ts
+++ b/src/cli/sheet/_lib/readingCommands.ts
@@ -1,4 +1,4 @@
-/** `sheet check`, `plan`, `status`, `history` and `show`: commands that change nothing. */
+/** `sheet check`, `plan`, `status`, `history` and `show`: the read-only commands. */
 import { Command } from 'commander'
 import { evaluateRollout } from '../../../decisions/evaluateRollout/index.js'
 import { serializeSheet } from '../../../decisions/serializeSheet/index.js'
@@ -65,7 +65,7 @@
   .addHelpText('after', '\nExample:\n  dotterelspoke sheet status --platform http://10.0.0.2:7000 --operator-port 9000\n\nExit codes: 0 confirmed on every router, 2 wrong settings, 4 platform unavailable, 6 not confirmed everywhere.')
   .action((flags: StatusFlags) => withPlatform(environment, flags, (session) => showStatus(environment, flags, session)))
 
-/** Without the platform the highest generation of a router stands in, and the answer is never "everywhere". */
+/** Without the platform, the highest generation that a router reports is used instead, and the sheet never counts as in force everywhere. */
 const showStatus = async (environment: CommandEnvironment, flags: StatusFlags, { platform, store }: PlatformSession): Promise<void> => {
   const root = await store.readRoot()
   const accepted = root.ok ? root.value?.root : undefined
--- a/src/cli/sheet/index.ts
+++ b/src/cli/sheet/index.ts
@@ -1,4 +1,4 @@
-/** `dotterelspoke sheet`: the operators' sheet, from check to in force everywhere. */
+/** `dotterelspoke sheet`: checks, plans and applies the operators' sheet, and shows where it is in force. */
 import { Command } from 'commander'
 import { createProcessEnvironment, type CommandEnvironment } from '../_lib/commandEnvironment.js'
 import { createApplyCommand } from './_lib/applyCommand.js'
@@ -7,7 +7,7 @@
 /**
  * Creates the command with its subcommands.
  *
- * @param environment - What the commands take from the process.
+ * @param environment - Access to the process; the real process by default.
  * @returns The command for the program.
  *
  * @example
--- a/src/cli/status/index.ts
+++ b/src/cli/status/index.ts
@@ -1,4 +1,4 @@
-/** `dotterelspoke status`: the fleet at one look. */
+/** `dotterelspoke status`: prints a summary of the fleet. */
 import { Command } from 'commander'
 import { summarizeFleet, type AccountWeights, type FleetSummary } from '../../decisions/summarizeFleet/index.js'
 import type { ConfigurationStore } from '../../services/configurationStore/index.js'
@@ -41,7 +41,7 @@
   return unaccounted === 0 ? sum : `${sum}; ALARM: ${unaccounted} requests stand in no outcome`
 }
 
-/** Without the platform the shares are not known; the rest of the status is. */
+/** Reads the weights of the client accounts; without the platform they are unknown, and only the shares are missing from the status. */
 const readWeights = async (store: ConfigurationStore): Promise<AccountWeights | undefined> => {
   const current = await store.readCurrent()
   if (!current.ok || current.value === undefined) return undefined
@@ -65,7 +65,7 @@
 /**
  * Creates the command.
  *
- * @param environment - What the command takes from the process.
+ * @param environment - Access to the process; the real process by default.
  * @returns The command for the program.
  *
  * @example
--- a/src/daemon/startGateway/index.ts
+++ b/src/daemon/startGateway/index.ts
@@ -1,6 +1,7 @@
 /**
- * A gateway node with its real listeners. What speaks to the platform is handed
- * in: the sources of configuration and backend servers, and the wire's names.
+ * Starts a gateway node with its real listeners. The parts that depend on the
+ * platform are passed in: the sources of configuration and backend servers, and
+ * the names of headers and fields on the wire.
  */
 import { createBoundedLogger } from '../../adapters/boundedLogger/index.js'
 import { createDeferredMetrics } from '../../adapters/deferredMetrics/index.js'
@@ -20,14 +21,14 @@
 export type GatewayOptions = {
   readonly settings: GatewaySettings
   readonly logger: Logger
-  /** The callers' listener, where it was opened before the program was loaded. */
+  /** The listener for callers, if it was opened before the program was loaded. */
   readonly earlyListener?: HandoverListener | undefined
-  /** Takes the steps of the start; they are written to the log. */
+  /** Records the steps of the start, which are written to the log. */
   readonly timeline?: StartTimeline
   readonly dialect: GatewayDialect
   readonly configurationSource: ConfigurationSource
   readonly instanceSource: InstanceSource
-  /** Left out where operators never drain zones. */
+  /** Omitted where operators never drain zones. */
   readonly zoneDrainSource?: ZoneDrainSource | undefined
   readonly engineMemory: PromptCacheSource
   readonly readinessPath: string
@@ -37,32 +38,32 @@
   readonly callerAddress: PeerAddress
   readonly readinessAddress: PeerAddress
   readonly peerAddress: PeerAddress
-  /** Resolves once it can serve. */
+  /** Resolves once the gateway can serve requests. */
   readonly whenAble: () => Promise<void>
-  /** Puts in force what may change while it runs: seeds, grace, and the bounds on keys, configuration and repeats. Addresses stay. */
+  /** Applies the settings that may change at run time: seeds, grace period, and the bounds on keys, configuration and retries. Addresses stay. */
   readonly applySettings: (settings: GatewaySettings) => void
-  /** Ends at once, as when its process dies. */
+  /** Closes everything at once, as if the process had crashed. */
   readonly kill: () => Promise<void>
-  /** Fails the readiness, serves on, and resolves once nothing is open or the grace is nearly over. */
+  /** Fails the readiness check but continues to serve; resolves once nothing is open or the grace period is nearly over. */
   readonly stop: () => Promise<void>
 }
 
-/** By then a node on a small VM has answered the callers that waited for its start. */
+/** Delay after which the metrics library is loaded; by then a node on a small VM has answered the callers that waited for its start. */
 const METRICS_DELAY_MS = 700
-/** Where operators' scrapers read the metrics. */
+/** Path at which the operators' metrics scrapers read. */
 const METRICS_PATH = '/metrics'
 const MAXIMUM_FRAME_BYTES = 8 * 1024 * 1024
-/** Acknowledgements between nodes, well below the three seconds after which a link counts as stalled. */
+/** Delay of acknowledgements between nodes, well below the three seconds after which a connection counts as stalled. */
 const ACKNOWLEDGE_DELAY_MS = 1_200
-/** The balancer asks once a second and turns away after two misses; a connection that is then on its way still comes. */
+/** The load balancer checks readiness once a second and stops sending after two failed checks; connections already under way still arrive. */
 const TURN_AWAY_MS = 3_200
-/** Without a new connection or request for so long, nothing more is coming. */
+/** After this time without a new connection or request, no more are expected. */
 const QUIET_MS = 200
-/** Kept of the grace period for the end itself. */
+/** Part of the grace period that is reserved for closing. */
 const GRACE_MARGIN_MS = 500
 const STOP_POLL_MS = 50
 const MILLISECONDS_PER_SECOND = 1_000
-/** The timeline of a start is written once a request was served, and no later than this. */
+/** The timeline of a start is logged this long after the listeners are open; by then a first request has usually been served. */
 const TIMELINE_LIMIT_MS = 5_000
 
 const wait = (clock: Clock, milliseconds: number): Promise<void> => new Promise((resolve) => { clock.setTimer(milliseconds, resolve) })
@@ -70,7 +71,7 @@
 /**
  * Starts a gateway.
  *
- * @param options - Checked settings, the log, and what speaks to the platform.
+ * @param options - Validated settings, the logger, and the parts that depend on the platform.
  * @returns The running gateway.
  *
  * @example
@@ -171,7 +172,7 @@
     logger.info('gateway stopping', { open: node.resolve('forwarding').openRequests(), connections: gatewayHttp.openConnections() })
     node.resolve('membership').announceLeaving()
     gatewayHttp.beginClosing()
-    // A zone with few nodes in rotation gets new connections on all of them, stopping ones included.
+    // In a zone with few nodes in rotation, all of them receive new connections, including nodes that are shutting down.
     const endsAt = stoppedAt + current.graceMs - GRACE_MARGIN_MS
     node.resolve('forwarding').beginShutdown(endsAt)
     await wait(clock, Math.min(TURN_AWAY_MS, current.graceMs / 2))
--- a/src/daemon/startRouter/index.ts
+++ b/src/daemon/startRouter/index.ts
@@ -1,6 +1,6 @@
 /**
- * The router daemon: a node with the real adapters, from its listeners to a
- * shutdown that cuts off no request in flight.
+ * Starts the router daemon: a node with the real adapters and listeners, and a
+ * graceful shutdown that lets requests in flight finish.
  */
 import { createBackendHttp } from '../../adapters/backendHttp/index.js'
 import { createCallerHttp } from '../../adapters/callerHttp/index.js'
@@ -26,12 +26,12 @@
 
 export type Router = {
   readonly addresses: RouterAddresses
-  /** Fails the readiness, finishes what is in flight, and closes everything. */
+  /** Fails the readiness check, lets requests in flight finish, and closes everything. */
   readonly stop: () => Promise<void>
 }
 
 export type RouterOptions = {
-  /** Where logs go; standard error by default. */
+  /** Destination of the logs; standard error by default. */
   readonly logger?: Logger
 }
 
@@ -39,9 +39,9 @@
 
 const wait = (clock: Clock, delayMs: number): Promise<void> => new Promise((resolve) => { clock.setTimer(delayMs, resolve) })
 
-// A timer that is left pending keeps the process alive: a router that had
-// nothing in flight would otherwise stay for its whole grace period, without a
-// listener, and whoever replaces the VM would wait for it.
+// The timer is cancelled at the end because a pending timer keeps the process
+// alive: a router with nothing in flight would run for its whole grace period
+// without a listener and delay the replacement of its VM.
 const waitAtMost = (clock: Clock, limitMs: number, ending: Promise<unknown>): Promise<void> =>
   new Promise((resolve, reject) => {
     const timer = clock.setTimer(limitMs, resolve)
@@ -51,12 +51,12 @@
 /**
  * Starts a router.
  *
- * Stopping goes in the order that lets no caller see an error: the readiness
- * fails and peers are told while requests are still taken, so that a balancer
- * has time to turn away; then nothing new is taken and what is in flight runs
- * to its end; then the rest is closed.
+ * The order of the shutdown lets no caller see an error. First the readiness
+ * check fails and peers are notified while requests are still accepted, so that
+ * a load balancer has time to stop sending. Then no new requests are accepted
+ * and those in flight finish. Then everything else is closed.
  *
- * @param settings - Checked settings.
+ * @param settings - Validated settings.
  * @param options - The logger.
  * @returns The running router.
  *
