--- a/src/daemon/startGateway/index.ts
+++ b/src/daemon/startGateway/index.ts
@@ -1,7 +1,7 @@
 /**
  * Starts a gateway node with its real listeners. The parts that depend on the
  * platform are passed in: the sources of configuration and backend servers, and
- * the names of headers and fields on the wire.
+ * the dialect, which decodes and encodes the wire formats.
  */
 import { createBoundedLogger } from '../../adapters/boundedLogger/index.js'
 import { createDeferredMetrics } from '../../adapters/deferredMetrics/index.js'
