--- a/examples/platform/sendThroughGateway.ts
+++ b/examples/platform/sendThroughGateway.ts
@@ -61,10 +61,10 @@
     dialect: createDialect(),
     configurationSource: createConfigurationSource(client),
     instanceSource: createInstanceSource(client),
-    engineMemory: createPromptCacheSource(),
+    promptCacheSource: createPromptCacheSource(),
     readinessPath: '/readyz'
   })
-  await gateway.whenAble()
+  await gateway.whenReadyToServe()
   const turns = [await sendTurn(gateway.callerAddress, 1), await sendTurn(gateway.callerAddress, 2)]
   await gateway.kill()
   client.close()
--- a/src/cli/_lib/platformSession.ts
+++ b/src/cli/_lib/platformSession.ts
@@ -39,7 +39,7 @@
   .option('--as <name>', 'your name for the audit trail (DOTTERELSPOKE_OPERATOR)')
 
 /** Prints what is wrong with a setting and sets the exit code of a usage error. */
-export const refuseUsage = (environment: CommandEnvironment, message: string): undefined => {
+export const reportUsageError = (environment: CommandEnvironment, message: string): undefined => {
   environment.printError(message)
   environment.setExitCode(exitCodes.usage)
   return undefined
@@ -48,7 +48,7 @@
 /** Runs a command with a platform client, which is closed even if the command fails. */
 export const withPlatform = async (environment: CommandEnvironment, flags: PlatformFlags, run: (session: PlatformSession) => Promise<void>): Promise<void> => {
   const url = flags.platform ?? environment.readVariable('DOTTERELSPOKE_PLATFORM_URL') ?? ''
-  if (!URL.canParse(url)) return refuseUsage(environment, url === '' ? 'the platform is missing: give --platform or set DOTTERELSPOKE_PLATFORM_URL' : `--platform "${url}" is not a URL`)
+  if (!URL.canParse(url)) return reportUsageError(environment, url === '' ? 'the platform is missing: give --platform or set DOTTERELSPOKE_PLATFORM_URL' : `--platform "${url}" is not a URL`)
   const platform = createPlatformHttp({ url: new URL(url).origin, timeoutMs: PLATFORM_TIMEOUT_MS })
   const auditTrail = createAuditTrail(platform)
   const store = createConfigurationStore({ platform, auditTrail, clock: environment.clock, random: environment.random, hashContent: computeSha256 })
@@ -61,7 +61,7 @@
 
 export const readOperatorName = (environment: CommandEnvironment, flags: { readonly as?: string }): string | undefined => {
   const name = flags.as ?? environment.readVariable('DOTTERELSPOKE_OPERATOR') ?? ''
-  return name === '' ? refuseUsage(environment, 'your name is missing: give --as or set DOTTERELSPOKE_OPERATOR') : name
+  return name === '' ? reportUsageError(environment, 'your name is missing: give --as or set DOTTERELSPOKE_OPERATOR') : name
 }
 
 export const createRouterClient = (environment: CommandEnvironment, flags: RouterFlags): OperatorClient => {
--- a/src/cli/_lib/askRouters.ts
+++ b/src/cli/_lib/queryRouters.ts
@@ -13,22 +13,22 @@
   readonly vms: readonly Vm[] | undefined
 }
 
-const MAXIMUM_REQUESTS = 32
+const MAXIMUM_CONCURRENT_REQUESTS = 32
 
-export const askRouters = async (environment: CommandEnvironment, flags: RouterFlags, platform: Platform): Promise<RouterStatuses> => {
+export const queryRouters = async (environment: CommandEnvironment, flags: RouterFlags, platform: Platform): Promise<RouterStatuses> => {
   const list = await platform.listVms()
   const vms = list.ok ? list.value : undefined
   const urls = findRouterUrls(environment, flags, vms ?? [])
   const client = createRouterClient(environment, flags)
   try {
-    return { vms, ...await askAll(client, urls) }
+    return { vms, ...await queryAll(client, urls) }
   } finally {
     await client.close()
   }
 }
 
-const askAll = async (client: OperatorClient, urls: readonly string[]): Promise<Pick<RouterStatuses, 'answers' | 'statuses'>> => {
-  const replies = await mapInBatches(urls, MAXIMUM_REQUESTS, async (url) => ({ url, status: await client.readStatus(url) }))
+const queryAll = async (client: OperatorClient, urls: readonly string[]): Promise<Pick<RouterStatuses, 'answers' | 'statuses'>> => {
+  const replies = await mapInBatches(urls, MAXIMUM_CONCURRENT_REQUESTS, async (url) => ({ url, status: await client.readStatus(url) }))
   return {
     answers: replies.map(({ url, status }) => status.ok ? { kind: 'answered', url, report: status.value } : { kind: 'unreachable', url, message: status.error }),
     statuses: replies.flatMap(({ status }) => status.ok ? [status.value] : [])
@@ -45,5 +45,5 @@
   return vms.filter(({ kind }) => kind === 'router').map(({ address }) => `http://${address.replace(/:\d+$/, '')}:${port}`)
 }
 
-export const highestGeneration = (answers: readonly RouterAnswer[]): number =>
+export const findHighestGeneration = (answers: readonly RouterAnswer[]): number =>
   Math.max(0, ...answers.map((answer) => answer.kind === 'answered' ? answer.report.generation : 0))
--- a/src/cli/_lib/render.ts
+++ b/src/cli/_lib/render.ts
@@ -13,11 +13,11 @@
 }
 
 /** Escapes control characters: a stored text must not send control sequences to the terminal. */
-export const escapeControls = (text: string): string => text.replace(/\p{Cc}/gu, (character) => `\\u${character.charCodeAt(0).toString(16).padStart(4, '0')}`)
+export const escapeControlCharacters = (text: string): string => text.replace(/\p{Cc}/gu, (character) => `\\u${character.charCodeAt(0).toString(16).padStart(4, '0')}`)
 
 export const renderChanges = (changes: readonly (SheetChange | AuditChange)[], count = changes.length): string => {
   if (count === 0) return 'no changes'
-  const lines = changes.slice(0, MAXIMUM_SHOWN_CHANGES).map((change) => escapeControls(`${describeSign(change)} ${change.record} ${change.name}: ${describeChange(change)}`))
+  const lines = changes.slice(0, MAXIMUM_SHOWN_CHANGES).map((change) => escapeControlCharacters(`${describeSign(change)} ${change.record} ${change.name}: ${describeChange(change)}`))
   const rest = count - lines.length
   return [...lines, ...(rest > 0 ? [`  and ${rest} more`] : [])].join('\n')
 }
@@ -31,18 +31,18 @@
   before !== undefined && after !== undefined ? `${before} -> ${after}` : before ?? after ?? ''
 
 export const renderGeneration = ({ generation, appliedBy, appliedAt, applyId }: AppliedGeneration): string =>
-  escapeControls(`generation ${generation}, applied by ${appliedBy} at ${formatIsoTime(appliedAt)} (apply id ${applyId})`)
+  escapeControlCharacters(`generation ${generation}, applied by ${appliedBy} at ${formatIsoTime(appliedAt)} (apply id ${applyId})`)
 
 export const renderHistory = (generations: readonly AppliedGeneration[]): string => renderTable(
   ['generation', 'applied at', 'applied by', 'apply id', 'sheet'],
-  generations.map(({ generation, appliedAt, appliedBy, applyId, sheetHash }) => [String(generation), formatIsoTime(appliedAt), escapeControls(appliedBy), escapeControls(applyId), sheetHash.slice(0, 12)])
+  generations.map(({ generation, appliedAt, appliedBy, applyId, sheetHash }) => [String(generation), formatIsoTime(appliedAt), escapeControlCharacters(appliedBy), escapeControlCharacters(applyId), sheetHash.slice(0, 12)])
 )
 
 export const renderRollout = (rollout: Rollout): string => {
   if (rollout.nodes.length === 0) return 'no router was asked: give --router or --operator-port'
   const table = renderTable(
     ['node', 'availabilityZone', 'state', 'generation', 'detail'],
-    rollout.nodes.map(({ node, availabilityZone, state, generation, detail }) => [escapeControls(node), availabilityZone, state, generation === undefined ? '?' : String(generation), escapeControls(detail)])
+    rollout.nodes.map(({ node, availabilityZone, state, generation, detail }) => [escapeControlCharacters(node), availabilityZone, state, generation === undefined ? '?' : String(generation), escapeControlCharacters(detail)])
   )
   return `${table}\n${summarizeRollout(rollout)}`
 }
@@ -53,7 +53,7 @@
   return `generation ${generation} is confirmed on ${confirmed} of ${nodes.filter(({ state }) => state !== 'gone').length} routers; it is NOT confirmed everywhere`
 }
 
-export const renderAudit = (entries: readonly AuditEntry[]): string => entries.map((entry) => escapeControls(
+export const renderAudit = (entries: readonly AuditEntry[]): string => entries.map((entry) => escapeControlCharacters(
   `${formatIsoTime(entry.at)} ${entry.operator}: ${entry.action}, generation ${entry.generationFrom} -> ${entry.generationTo}: ${entry.outcome}${entry.reason === undefined ? '' : ` (${entry.reason})`}, sheet ${entry.sheetHash.slice(0, 12)}, apply id ${entry.applyId}`
 ) + `\n${indent(renderChanges(entry.changes, entry.changeCount))}`).join('\n')
 
--- a/src/cli/_lib/reportOutcome.ts
+++ b/src/cli/_lib/reportOutcome.ts
@@ -5,9 +5,9 @@
 
 export type OutcomeReport = { readonly text: string, readonly exitCode: number }
 
-type Reports = { readonly [Kind in ApplyOutcome['kind']]: (outcome: Extract<ApplyOutcome, { readonly kind: Kind }>) => OutcomeReport }
+type OutcomeReporters = { readonly [Kind in ApplyOutcome['kind']]: (outcome: Extract<ApplyOutcome, { readonly kind: Kind }>) => OutcomeReport }
 
-const reports: Reports = {
+const reporters: OutcomeReporters = {
   applied: ({ generation, changes, replacedBy, isAuditSettled }) => ({
     exitCode: exitCodes.success,
     text: [
@@ -34,4 +34,4 @@
   damaged: ({ message }) => ({ exitCode: exitCodes.unavailable, text: `not accepted: what the platform holds cannot be read: ${message}` })
 }
 
-export const reportOutcome = (outcome: ApplyOutcome): OutcomeReport => reports[outcome.kind](outcome as never)
+export const reportOutcome = (outcome: ApplyOutcome): OutcomeReport => reporters[outcome.kind](outcome as never)
--- a/src/cli/audit/index.ts
+++ b/src/cli/audit/index.ts
@@ -1,7 +1,7 @@
 /** `dotterelspoke audit`: lists configuration changes with their operator, time and outcome. */
 import { Command } from 'commander'
 import { createProcessEnvironment, type CommandEnvironment } from '../_lib/commandEnvironment.js'
-import { addPlatformFlags, refuseUsage, withPlatform, type PlatformFlags } from '../_lib/platformSession.js'
+import { addPlatformFlags, reportUsageError, withPlatform, type PlatformFlags } from '../_lib/platformSession.js'
 import { renderAudit } from '../_lib/render.js'
 import { exitCodes } from '../exitCodes.js'
 
@@ -25,7 +25,7 @@
   .addHelpText('after', '\nExample:\n  dotterelspoke audit --platform http://10.0.0.2:7000 --limit 5\n\nAn entry that stays "attempted" belongs to an operator whose reply was lost or whose machine stopped;\n`sheet history` tells whether its apply id was accepted, and the next change settles the entry.\n\nExit codes: 0 listed, 2 wrong settings, 4 platform unavailable.')
   .action((flags: AuditFlags) => {
     const limit = /^\d+$/.test(flags.limit) ? Number(flags.limit) : NaN
-    if (!(limit >= 1 && limit <= MAXIMUM_LIMIT)) return refuseUsage(environment, `--limit "${flags.limit}" must be a whole number from 1 to ${MAXIMUM_LIMIT}`)
+    if (!(limit >= 1 && limit <= MAXIMUM_LIMIT)) return reportUsageError(environment, `--limit "${flags.limit}" must be a whole number from 1 to ${MAXIMUM_LIMIT}`)
     return withPlatform(environment, flags, async ({ auditTrail }) => {
       const listing = await auditTrail.read(limit)
       if (!listing.ok) {
--- a/src/cli/createProgram/index.ts
+++ b/src/cli/createProgram/index.ts
@@ -20,9 +20,9 @@
   .action(() => { console.log(version) })
 
 /** Commander exits with 1 on a usage error; this program exits with 2. */
-const exitWithProjectCode = (command: Command): void => {
+const overrideExitCodes = (command: Command): void => {
   command.exitOverride((error) => process.exit(error.exitCode === 0 ? exitCodes.success : exitCodes.usage))
-  command.commands.forEach(exitWithProjectCode)
+  command.commands.forEach(overrideExitCodes)
 }
 
 /**
@@ -51,6 +51,6 @@
     .addCommand(createSheetCommand(environment))
     .addCommand(createStatusCommand(environment))
     .addCommand(createVersionCommand())
-  exitWithProjectCode(program)
+  overrideExitCodes(program)
   return program
 }
--- a/src/cli/demo/index.ts
+++ b/src/cli/demo/index.ts
@@ -10,12 +10,12 @@
 
 type DemoFlags = { readonly stay: boolean, readonly port: number }
 
-const SHEET = new URL('../../../examples/demo/sheet.csv', import.meta.url)
-const KEY = 'demo-key-village-shops'
+const SHEET_URL = new URL('../../../examples/demo/sheet.csv', import.meta.url)
+const ACCOUNT_KEY = 'demo-key-village-shops'
 const MODEL = 'shop-assistant'
 const OPERATOR_TOKEN = 'demo-operator-token'
 /** Pause between two turns, long enough for the routers to exchange their counts of requests in flight. */
-const PAUSE_MS = 1_000
+const TURN_PAUSE_MS = 1_000
 const SUGGESTED_PORT = 8080
 
 const QUESTIONS = [
@@ -24,7 +24,7 @@
 ]
 
 const readSheet = (): Sheet => {
-  const sheet = parseSheet(readFileSync(SHEET, 'utf8'))
+  const sheet = parseSheet(readFileSync(SHEET_URL, 'utf8'))
   if (sheet.ok) return sheet.value
   throw new Error(`the demo's sheet is wrong: ${sheet.error.map(({ line, column, message }) => `${line}:${column} ${message}`).join('; ')}`)
 }
@@ -34,7 +34,7 @@
   console.log(`  ${answer.text}`)
 }
 
-const pause = (): Promise<void> => new Promise((resolve) => { setTimeout(resolve, PAUSE_MS) })
+const pause = (): Promise<void> => new Promise((resolve) => { setTimeout(resolve, TURN_PAUSE_MS) })
 
 /** Sends the turns of a chat with a pause between them, each through the next router. */
 const sendChat = async (fleet: DemoFleet): Promise<readonly ChatTurn[]> => {
@@ -44,7 +44,7 @@
     if (index > 0) await pause()
     const router = fleet.routers[index % fleet.routers.length]!.addresses.caller
     messages = [...messages, { role: 'user', content: question }]
-    const answer = await sendChatTurn(router, KEY, { model: MODEL, messages })
+    const answer = await sendChatTurn(router, ACCOUNT_KEY, { model: MODEL, messages })
     printTurn(index + 1, router, answer)
     messages = [...messages, { role: 'assistant', content: answer.text }]
     turns.push(answer)
@@ -56,9 +56,9 @@
   const router = fleet.routers[0]!.addresses
   const origin = stay ? router.caller : `http://127.0.0.1:${SUGGESTED_PORT}`
   console.log(stay ? '\nTry it:' : `\nTry it while \`npm run demo -- --stay --port ${SUGGESTED_PORT}\` runs:`)
-  console.log(`  curl -N ${origin}/v1/chat/completions -H 'authorization: Bearer ${KEY}' -H 'content-type: application/json' \\`)
+  console.log(`  curl -N ${origin}/v1/chat/completions -H 'authorization: Bearer ${ACCOUNT_KEY}' -H 'content-type: application/json' \\`)
   console.log(`    -d '{"model":"${MODEL}","stream":true,"messages":[{"role":"user","content":"Is there flour?"}]}'`)
-  console.log(`key: ${KEY}`)
+  console.log(`key: ${ACCOUNT_KEY}`)
   if (stay) console.log(`operator port: ${router.operator}, operator token: ${OPERATOR_TOKEN}`)
 }
 
@@ -67,12 +67,12 @@
   process.once('SIGTERM', () => resolve())
 })
 
-const judge = (turns: readonly ChatTurn[]): boolean => turns.slice(1).every(({ cachedTokens }) => cachedTokens > 0)
+const hasCacheHits = (turns: readonly ChatTurn[]): boolean => turns.slice(1).every(({ cachedTokens }) => cachedTokens > 0)
 
 const runDemo = async ({ stay, port }: DemoFlags): Promise<void> => {
   const fleet = await startDemoFleet({ sheet: readSheet(), port, operatorToken: OPERATOR_TOKEN })
   console.log(`generation ${fleet.generation} is in force on ${fleet.routers.length} routers`)
-  const isCacheHit = judge(await sendChat(fleet))
+  const isCacheHit = hasCacheHits(await sendChat(fleet))
   console.log(isCacheHit ? 'the second turn hit the prompt cache' : 'the second turn missed the prompt cache')
   printCurl(fleet, stay)
   if (stay) {
--- a/src/cli/drain/index.ts
+++ b/src/cli/drain/index.ts
@@ -5,9 +5,9 @@
 import { parseIsoTime } from '../../kernel/index.js'
 import type { ApplyOutcome } from '../../services/configurationStore/index.js'
 import type { BackendServerState, NodeStatus } from '../../types/index.js'
-import { askRouters, highestGeneration } from '../_lib/askRouters.js'
+import { queryRouters, findHighestGeneration } from '../_lib/queryRouters.js'
 import { createProcessEnvironment, type CommandEnvironment } from '../_lib/commandEnvironment.js'
-import { addOperatorFlag, addPlatformFlags, addRouterFlags, readOperatorName, refuseUsage, withPlatform, type PlatformFlags, type PlatformSession, type RouterFlags } from '../_lib/platformSession.js'
+import { addOperatorFlag, addPlatformFlags, addRouterFlags, readOperatorName, reportUsageError, withPlatform, type PlatformFlags, type PlatformSession, type RouterFlags } from '../_lib/platformSession.js'
 import { renderRollout } from '../_lib/render.js'
 import { reportOutcome } from '../_lib/reportOutcome.js'
 import { waitForRollout } from '../_lib/waitForRollout.js'
@@ -22,10 +22,10 @@
 }
 
 /** Edits of different records commute, so an edit that met a conflict is planned again on the new generation. This many conflicts in a row point to another fault. */
-const MAXIMUM_TRIES = 5
+const MAXIMUM_ATTEMPTS = 5
 const MAXIMUM_WAIT_SECONDS = 86_400
 
-const OUT_OF_WORK: ReadonlySet<BackendServerState> = new Set(['leaving', 'unreachable'])
+const STATES_WITHOUT_NEW_WORK: ReadonlySet<BackendServerState> = new Set(['leaving', 'unreachable'])
 
 /**
  * Creates the command.
@@ -53,7 +53,7 @@
   const operator = readOperatorName(environment, flags)
   const edit = readEdit(environment, backendServer, flags)
   const wait = flags.wait === undefined ? 0 : Number(flags.wait)
-  if (!(wait >= 0 && wait <= MAXIMUM_WAIT_SECONDS)) return refuseUsage(environment, `--wait must be seconds from 0 to ${MAXIMUM_WAIT_SECONDS}`)
+  if (!(wait >= 0 && wait <= MAXIMUM_WAIT_SECONDS)) return reportUsageError(environment, `--wait must be seconds from 0 to ${MAXIMUM_WAIT_SECONDS}`)
   if (operator === undefined || edit === undefined) return
   await withPlatform(environment, flags, async (session) => {
     const outcome = await applyEdit(environment, flags, session, edit, operator)
@@ -69,35 +69,35 @@
   if (flags.cancel) return { kind: 'cancel', backendServer }
   const startsAt = flags.startsAt === undefined ? environment.clock.wallTime() : parseIsoTime(flags.startsAt)
   const endsAt = flags.endsAt === undefined ? undefined : parseIsoTime(flags.endsAt)
-  const isUnreadable = startsAt === undefined || (flags.endsAt !== undefined && endsAt === undefined)
-  if (isUnreadable) return refuseUsage(environment, 'times must be ISO 8601 with their offset, such as 2026-03-02T22:00:00+01:00')
+  const hasInvalidTime = startsAt === undefined || (flags.endsAt !== undefined && endsAt === undefined)
+  if (hasInvalidTime) return reportUsageError(environment, 'times must be ISO 8601 with their offset, such as 2026-03-02T22:00:00+01:00')
   return { kind: 'start', backendServer, startsAt, ...(endsAt === undefined ? {} : { endsAt }) }
 }
 
 /** Returns `undefined` if the edit was refused and the reason has been printed. */
 const applyEdit = async (environment: CommandEnvironment, flags: DrainFlags, { platform, store }: PlatformSession, edit: DrainEdit, operator: string): Promise<ApplyOutcome | undefined> => {
   let outcome: ApplyOutcome | undefined
-  for (let tries = 1; tries <= MAXIMUM_TRIES; tries += 1) {
+  for (let attempt = 1; attempt <= MAXIMUM_ATTEMPTS; attempt += 1) {
     const current = await store.readCurrent()
     if (!current.ok) return current.error
-    if (current.value === undefined) return refuseEdit(environment, 'no sheet has been applied yet')
+    if (current.value === undefined) return reportEditError(environment, 'no sheet has been applied yet')
     const sheet = editPlannedStop(current.value.sheet, edit)
-    if (!sheet.ok) return refuseEdit(environment, sheet.error.message)
-    const { answers } = await askRouters(environment, flags, platform)
+    if (!sheet.ok) return reportEditError(environment, sheet.error.message)
+    const { answers } = await queryRouters(environment, flags, platform)
     outcome = await store.applySheet({
       sheet: sheet.value,
       plannedAgainst: current.value.root.generation,
       appliedBy: operator,
       applyId: environment.random.nextId(),
       action: `drain ${edit.kind} ${edit.backendServer}`,
-      fleetGeneration: highestGeneration(answers)
+      fleetGeneration: findHighestGeneration(answers)
     })
     if (outcome.kind !== 'conflict') return outcome
   }
   return outcome
 }
 
-const refuseEdit = (environment: CommandEnvironment, message: string): undefined => {
+const reportEditError = (environment: CommandEnvironment, message: string): undefined => {
   environment.printError(message)
   environment.setExitCode(exitCodes.failure)
   return undefined
@@ -109,9 +109,9 @@
  * the backend server as leaving or unreachable, and have nothing in flight to it.
  */
 const isDrained = (statuses: readonly NodeStatus[], { nodes }: Rollout, backendServer: string): boolean => {
-  const isAsked = nodes.every(({ state }) => state === 'inForce' || state === 'gone')
-  const isOut = statuses.every(({ backendServers }) => backendServers.some((server) => server.backendServer === backendServer && OUT_OF_WORK.has(server.state)))
-  return isAsked && isOut && countInFlight(statuses, backendServer) === 0
+  const isConfirmedByAll = nodes.every(({ state }) => state === 'inForce' || state === 'gone')
+  const isOutOfRotation = statuses.every(({ backendServers }) => backendServers.some((server) => server.backendServer === backendServer && STATES_WITHOUT_NEW_WORK.has(server.state)))
+  return isConfirmedByAll && isOutOfRotation && countInFlight(statuses, backendServer) === 0
 }
 
 const countInFlight = (statuses: readonly NodeStatus[], backendServer: string): number => statuses
@@ -129,8 +129,8 @@
   if (!result.isDone) environment.setExitCode(exitCodes.notInForce)
 }
 
-const describeDrain = (edit: DrainEdit, inFlight: number, asked: number, isDone: boolean): string => {
+const describeDrain = (edit: DrainEdit, inFlight: number, answeredRouters: number, isDone: boolean): string => {
   if (edit.kind === 'cancel') return isDone ? 'the drain has ended everywhere' : 'the end of the drain is NOT confirmed everywhere'
   if (isDone) return `drained: no request in flight to ${edit.backendServer} from any router`
-  return `NOT confirmed as drained: ${inFlight} requests in flight to ${edit.backendServer} from the ${asked} routers that answered`
+  return `NOT confirmed as drained: ${inFlight} requests in flight to ${edit.backendServer} from the ${answeredRouters} routers that answered`
 }
--- a/src/cli/emulate/index.ts
+++ b/src/cli/emulate/index.ts
@@ -6,11 +6,11 @@
 import { createModelEngineServer } from '../../emulator/createModelEngineServer/index.js'
 import { createPlainServiceServer } from '../../emulator/createPlainServiceServer/index.js'
 import { createPlatformServer } from '../../emulator/createPlatformServer/index.js'
-import { parseFromZero, parsePort, parseWhole } from '../_lib/parseNumber.js'
+import { parseNonNegativeNumber, parsePort, parsePositiveInteger } from '../_lib/parseNumber.js'
 
-type Address = { readonly host: string, readonly port: number }
+type ListenFlags = { readonly host: string, readonly port: number }
 
-type EngineFlags = Address & {
+type EngineFlags = ListenFlags & {
   readonly slots: number
   readonly maximumWaiting: number
   readonly prefillRate: number
@@ -21,7 +21,7 @@
   readonly grace: number
 }
 
-type ServiceFlags = Address & { readonly delay: number, readonly slots: number, readonly loadLag: number }
+type ServiceFlags = ListenFlags & { readonly delay: number, readonly slots: number, readonly loadLag: number }
 
 const EXAMPLES = `
 Each prints one line of JSON when it listens, and stops on SIGTERM or SIGINT:
@@ -54,26 +54,26 @@
     .addCommand(createServiceCommand())
 
 const createPlatformCommand = (): Command =>
-  addAddress(new Command('platform'))
+  addListenOptions(new Command('platform'))
     .description('a versioned object store in memory, with watches and a VM list')
     .addHelpText('after', '\nExample:\n  dotterelspoke emulate platform --port 7000')
-    .action(async ({ host, port }: Address) => {
+    .action(async ({ host, port }: ListenFlags) => {
       await run('platform', createPlatformServer({ clock: createSystemClock(), host, port }))
     })
 
 const createEngineCommand = (): Command => {
   const defaults = DEFAULT_MODEL_ENGINE_OPTIONS
-  return addAddress(new Command('engine'))
+  return addListenOptions(new Command('engine'))
     .description('a model engine that batches, caches prefixes and streams; its answers follow from the prompt')
     .addHelpText('after', '\nExample:\n  dotterelspoke emulate engine --slots 8 --cache-tokens 50000')
-    .option('--slots <count>', 'requests in the batch at once', parseWhole, defaults.slots)
-    .option('--maximum-waiting <count>', 'requests that may wait for a slot', parseWhole, defaults.maximumWaiting)
-    .option('--prefill-rate <tokens>', 'prompt tokens a second', parseFromZero, defaults.prefillTokensPerSecond)
-    .option('--decode-interval <ms>', 'milliseconds between tokens of a request alone in the batch', parseFromZero, defaults.decodeIntervalMs)
-    .option('--decode-interval-per-request <ms>', 'milliseconds that each further request adds', parseFromZero, defaults.decodeIntervalPerRequestMs)
-    .option('--cache-tokens <count>', 'tokens that the prefix cache holds', parseWhole, defaults.cacheTokens)
-    .option('--load-lag <ms>', 'milliseconds by which the load report is late', parseFromZero, defaults.loadLagMs)
-    .option('--grace <ms>', 'milliseconds for which a stream that nobody reads is kept', parseFromZero, defaults.graceMs)
+    .option('--slots <count>', 'requests in the batch at once', parsePositiveInteger, defaults.slots)
+    .option('--maximum-waiting <count>', 'requests that may wait for a slot', parsePositiveInteger, defaults.maximumWaiting)
+    .option('--prefill-rate <tokens>', 'prompt tokens a second', parseNonNegativeNumber, defaults.prefillTokensPerSecond)
+    .option('--decode-interval <ms>', 'milliseconds between tokens of a request alone in the batch', parseNonNegativeNumber, defaults.decodeIntervalMs)
+    .option('--decode-interval-per-request <ms>', 'milliseconds that each further request adds', parseNonNegativeNumber, defaults.decodeIntervalPerRequestMs)
+    .option('--cache-tokens <count>', 'tokens that the prefix cache holds', parsePositiveInteger, defaults.cacheTokens)
+    .option('--load-lag <ms>', 'milliseconds by which the load report is late', parseNonNegativeNumber, defaults.loadLagMs)
+    .option('--grace <ms>', 'milliseconds for which a stream that nobody reads is kept', parseNonNegativeNumber, defaults.graceMs)
     .action(async (flags: EngineFlags) => {
       const engine = {
         slots: flags.slots,
@@ -90,17 +90,17 @@
 }
 
 const createServiceCommand = (): Command =>
-  addAddress(new Command('service'))
+  addListenOptions(new Command('service'))
     .description('a plain service that records orders and looks up stock')
     .addHelpText('after', '\nExample:\n  dotterelspoke emulate service --delay 20')
-    .option('--delay <ms>', 'milliseconds that each call takes', parseFromZero, 5)
-    .option('--slots <count>', 'calls at once', parseWhole, 256)
-    .option('--load-lag <ms>', 'milliseconds by which the load report is late', parseFromZero, 250)
+    .option('--delay <ms>', 'milliseconds that each call takes', parseNonNegativeNumber, 5)
+    .option('--slots <count>', 'calls at once', parsePositiveInteger, 256)
+    .option('--load-lag <ms>', 'milliseconds by which the load report is late', parseNonNegativeNumber, 250)
     .action(async ({ host, port, delay, slots, loadLag }: ServiceFlags) => {
       await run('service', createPlainServiceServer({ clock: createSystemClock(), host, port, delayMs: delay, slots, loadLagMs: loadLag }))
     })
 
-const addAddress = (command: Command): Command =>
+const addListenOptions = (command: Command): Command =>
   command
     .option('--host <address>', 'IP number to listen on', '127.0.0.1')
     .option('--port <number>', 'port to listen on; 0 takes a free one', parsePort, 0)
--- a/src/cli/explain/index.ts
+++ b/src/cli/explain/index.ts
@@ -4,18 +4,18 @@
 import { formatIsoTime } from '../../kernel/index.js'
 import type { CommandEnvironment } from '../_lib/commandEnvironment.js'
 import { readLogRecords } from '../_lib/readLogRecords.js'
-import { escapeControls } from '../_lib/render.js'
+import { escapeControlCharacters } from '../_lib/render.js'
 import { exitCodes } from '../exitCodes.js'
 
 const HIDDEN_FIELDS = new Set(['level', 'requestId'])
 
 const renderFields = (fields: LogRecord['fields']): string => Object.entries(fields)
   .filter(([name]) => !HIDDEN_FIELDS.has(name))
-  .map(([name, value]) => `${name}=${escapeControls(String(value))}`)
+  .map(([name, value]) => `${name}=${escapeControlCharacters(String(value))}`)
   .join(' ')
 
 const renderRecord = ({ time, node, event, fields }: LogRecord): string =>
-  `  ${formatIsoTime(time)}  ${escapeControls(node)}  ${escapeControls(event)}  ${renderFields(fields)}`
+  `  ${formatIsoTime(time)}  ${escapeControlCharacters(node)}  ${escapeControlCharacters(event)}  ${renderFields(fields)}`
 
 const renderSection = (title: string, records: readonly LogRecord[]): readonly string[] =>
   records.length === 0 ? [] : [title, ...records.map(renderRecord)]
@@ -35,11 +35,11 @@
   .argument('[files...]', 'log files of any number of nodes; - for standard input', ['-'])
   .addHelpText('after', '\nExample:\n  dotterelspoke explain 79a0491bc7f99364 node-1.log node-2.log')
   .action((requestId: string, files: readonly string[]) => {
-    const story = explainRequest(readLogRecords(environment, files), requestId)
-    if (story.steps.length === 0) {
-      environment.printError(`no line has the request ${escapeControls(requestId)}`)
+    const timeline = explainRequest(readLogRecords(environment, files), requestId)
+    if (timeline.steps.length === 0) {
+      environment.printError(`no line has the request ${escapeControlCharacters(requestId)}`)
       environment.setExitCode(exitCodes.failure)
       return
     }
-    environment.print([...renderSection('what the nodes believed', story.stateChanges), ...renderSection('what happened to the request', story.steps)].join('\n'))
+    environment.print([...renderSection('what the nodes believed', timeline.stateChanges), ...renderSection('what happened to the request', timeline.steps)].join('\n'))
   })
--- a/src/cli/load/index.ts
+++ b/src/cli/load/index.ts
@@ -7,7 +7,7 @@
 import { formatLoadSummary } from '../../load/formatLoadSummary/index.js'
 import { DEFAULT_LOAD_PLAN, planLoad, type LoadPlanOptions } from '../../load/planLoad/index.js'
 import { runLoad, type LoadProgress } from '../../load/runLoad/index.js'
-import { parseFromZero, parsePositive, parseWhole } from '../_lib/parseNumber.js'
+import { parseNonNegativeNumber, parsePositiveNumber, parsePositiveInteger } from '../_lib/parseNumber.js'
 import { exitCodes } from '../exitCodes.js'
 
 /** Options of the load plan that a flag of the same name sets. */
@@ -68,29 +68,29 @@
     .requiredOption('--router <url>', 'origin of a router; repeat for more, taken in turn', collect, [])
     .option('--key <key>', 'key of a client account; repeat for more', collect, [])
     .option('--key-file <path>', 'file with one key a line')
-    .option('--seed <number>', 'the same seed plans the same load', parseWhole, 1)
-    .option('--rate <number>', 'requests a second', parsePositive, plan.rate)
-    .option('--duration <seconds>', 'seconds for which to send', parsePositive, plan.durationMs / MILLISECONDS_PER_SECOND)
-    .option('--requests <count>', 'requests to send at most', parseWhole, plan.maximumRequests)
-    .option('--account-skew <exponent>', 'Zipf exponent of the accounts; 0 is even', parseFromZero, plan.accountSkew)
-    .option('--chats <weight>', 'how often turns of chats come', parseFromZero, plan.mix.chat)
-    .option('--overnight <weight>', 'how often overnight work comes', parseFromZero, plan.mix.overnight)
-    .option('--lookups <weight>', 'how often stock lookups come', parseFromZero, plan.mix.lookup)
-    .option('--orders <weight>', 'how often orders come', parseFromZero, plan.mix.order)
-    .option('--returning <share>', 'share of chat requests that go on with a chat that is due', parseFromZero, plan.returningShare)
-    .option('--think-time <seconds>', 'mean pause between the turns of a chat', parsePositive, plan.meanThinkTimeMs / MILLISECONDS_PER_SECOND)
-    .option('--answer-time <ms>', 'milliseconds a token that an answer is taken to last, before the pause', parseFromZero, plan.answerTimePerTokenMs)
-    .option('--turns <count>', 'turns of a chat at most', parseWhole, plan.maximumTurns)
-    .option('--system-tokens <count>', 'tokens of the system prompt, alike within an account', parseWhole, plan.systemTokens)
-    .option('--question-tokens <count>', 'tokens of a question, on average', parseWhole, plan.questionTokens)
-    .option('--answer-tokens <count>', 'tokens of an answer, on average', parseWhole, plan.answerTokens)
+    .option('--seed <number>', 'the same seed plans the same load', parsePositiveInteger, 1)
+    .option('--rate <number>', 'requests a second', parsePositiveNumber, plan.rate)
+    .option('--duration <seconds>', 'seconds for which to send', parsePositiveNumber, plan.durationMs / MILLISECONDS_PER_SECOND)
+    .option('--requests <count>', 'requests to send at most', parsePositiveInteger, plan.maximumRequests)
+    .option('--account-skew <exponent>', 'Zipf exponent of the accounts; 0 is even', parseNonNegativeNumber, plan.accountSkew)
+    .option('--chats <weight>', 'how often turns of chats come', parseNonNegativeNumber, plan.mix.chat)
+    .option('--overnight <weight>', 'how often overnight work comes', parseNonNegativeNumber, plan.mix.overnight)
+    .option('--lookups <weight>', 'how often stock lookups come', parseNonNegativeNumber, plan.mix.lookup)
+    .option('--orders <weight>', 'how often orders come', parseNonNegativeNumber, plan.mix.order)
+    .option('--returning <share>', 'share of chat requests that go on with a chat that is due', parseNonNegativeNumber, plan.returningShare)
+    .option('--think-time <seconds>', 'mean pause between the turns of a chat', parsePositiveNumber, plan.meanThinkTimeMs / MILLISECONDS_PER_SECOND)
+    .option('--answer-time <ms>', 'milliseconds a token that an answer is taken to last, before the pause', parseNonNegativeNumber, plan.answerTimePerTokenMs)
+    .option('--turns <count>', 'turns of a chat at most', parsePositiveInteger, plan.maximumTurns)
+    .option('--system-tokens <count>', 'tokens of the system prompt, alike within an account', parsePositiveInteger, plan.systemTokens)
+    .option('--question-tokens <count>', 'tokens of a question, on average', parsePositiveInteger, plan.questionTokens)
+    .option('--answer-tokens <count>', 'tokens of an answer, on average', parsePositiveInteger, plan.answerTokens)
     .option('--model <name>', 'model of the chats', plan.model)
     .option('--overnight-model <name>', 'model of the overnight work', plan.overnightModel)
     .option('--lookup-path <path>', 'path that lookups begin with', plan.lookupPath)
     .option('--order-path <path>', 'path of orders', plan.orderPath)
     .option('--no-chat-hints', 'do not send the chat hint of an answer back')
-    .option('--timeout <seconds>', 'seconds that one request may take', parsePositive, 60)
-    .option('--maximum-open <count>', 'open requests beyond which planned ones are skipped', parseWhole, 5000)
+    .option('--timeout <seconds>', 'seconds that one request may take', parsePositiveNumber, 60)
+    .option('--maximum-open <count>', 'open requests beyond which planned ones are skipped', parsePositiveInteger, 5000)
     .option('--json', 'print the sums as one JSON object')
     .addHelpText('after', HELP)
     .action(run)
@@ -98,8 +98,8 @@
 
 const run = async (flags: LoadFlags): Promise<void> => {
   const keys = await readKeys(flags)
-  if (keys.length === 0) return fail(`no key of a client account: give --key, --key-file or ${KEYS_VARIABLE}`)
-  if (flags.chats + flags.overnight + flags.lookups + flags.orders === 0) return fail('every weight is 0: there is nothing to send')
+  if (keys.length === 0) return reportUsageError(`no key of a client account: give --key, --key-file or ${KEYS_VARIABLE}`)
+  if (flags.chats + flags.overnight + flags.lookups + flags.orders === 0) return reportUsageError('every weight is 0: there is nothing to send')
   const controller = new AbortController()
   const stop = (): void => controller.abort()
   process.once('SIGINT', stop)
@@ -153,7 +153,7 @@
 
 const hasBadAnswer = ({ outcomes }: LoadSummary): boolean => outcomes.broken + outcomes.wrong > 0
 
-const fail = (message: string): void => {
+const reportUsageError = (message: string): void => {
   process.stderr.write(`error: ${message}\n`)
   process.exitCode = exitCodes.usage
 }
--- a/src/cli/sheet/_lib/applyCommand.ts
+++ b/src/cli/sheet/_lib/applyCommand.ts
@@ -4,9 +4,9 @@
 import { computeSha256 } from '../../../kernel/index.js'
 import type { ApplyOutcome } from '../../../services/configurationStore/index.js'
 import type { Sheet, SheetChange, SheetProblem } from '../../../types/index.js'
-import { askRouters, highestGeneration } from '../../_lib/askRouters.js'
+import { queryRouters, findHighestGeneration } from '../../_lib/queryRouters.js'
 import type { CommandEnvironment } from '../../_lib/commandEnvironment.js'
-import { addOperatorFlag, addPlatformFlags, addRouterFlags, readOperatorName, refuseUsage, withPlatform, type PlatformFlags, type PlatformSession, type RouterFlags } from '../../_lib/platformSession.js'
+import { addOperatorFlag, addPlatformFlags, addRouterFlags, readOperatorName, reportUsageError, withPlatform, type PlatformFlags, type PlatformSession, type RouterFlags } from '../../_lib/platformSession.js'
 import { renderRollout } from '../../_lib/render.js'
 import { reportOutcome } from '../../_lib/reportOutcome.js'
 import { waitForRollout } from '../../_lib/waitForRollout.js'
@@ -15,7 +15,7 @@
 
 type ApplyFlags = PlatformFlags & RouterFlags & { readonly as?: string, readonly against?: string, readonly wait?: string, readonly applyId?: string }
 
-type Application = { readonly sheet: Sheet, readonly operator: string, readonly applyId: string, readonly against?: number }
+type ApplyInput = { readonly sheet: Sheet, readonly operator: string, readonly applyId: string, readonly against?: number }
 
 const MAXIMUM_WAIT_SECONDS = 3_600
 
@@ -40,29 +40,29 @@
   if (file === undefined) return
   const applyId = flags.applyId ?? environment.random.nextId()
   const { parsed, text } = file
-  if (!parsed.ok) return recordProblems(environment, flags, { operator, applyId, text, problems: parsed.error })
+  if (!parsed.ok) return recordRefusedSheet(environment, flags, { operator, applyId, text, problems: parsed.error })
   await withPlatform(environment, flags, async (session) => {
     const outcome = await apply(environment, flags, session, { sheet: parsed.value, operator, applyId, ...(against === 'none' ? {} : { against }) })
-    report(environment, flags, outcome)
-    if (outcome.kind === 'applied' || outcome.kind === 'unchanged') await confirm(environment, flags, session, outcome, wait === 'none' ? undefined : wait)
+    printOutcome(environment, flags, outcome)
+    if (outcome.kind === 'applied' || outcome.kind === 'unchanged') await confirmRollout(environment, flags, session, outcome, wait === 'none' ? undefined : wait)
   })
 }
 
 const readCount = (environment: CommandEnvironment, flag: string, text: string | undefined, maximum: number): number | 'none' | undefined => {
   if (text === undefined) return 'none'
   const count = /^\d+$/.test(text) ? Number(text) : NaN
-  return count <= maximum ? count : refuseUsage(environment, `${flag} "${text}" must be a whole number up to ${maximum}`)
+  return count <= maximum ? count : reportUsageError(environment, `${flag} "${text}" must be a whole number up to ${maximum}`)
 }
 
-const apply = async (environment: CommandEnvironment, flags: ApplyFlags, { platform, store }: PlatformSession, { sheet, operator, applyId, against }: Application): Promise<ApplyOutcome> => {
+const apply = async (environment: CommandEnvironment, flags: ApplyFlags, { platform, store }: PlatformSession, { sheet, operator, applyId, against }: ApplyInput): Promise<ApplyOutcome> => {
   const root = against === undefined ? await store.readRoot() : undefined
   if (root !== undefined && !root.ok) return root.error
   const plannedAgainst = against ?? root?.value?.root.generation ?? 0
-  const { answers } = await askRouters(environment, flags, platform)
-  return store.applySheet({ sheet, plannedAgainst, appliedBy: operator, applyId, action: 'sheet apply', fleetGeneration: highestGeneration(answers) })
+  const { answers } = await queryRouters(environment, flags, platform)
+  return store.applySheet({ sheet, plannedAgainst, appliedBy: operator, applyId, action: 'sheet apply', fleetGeneration: findHighestGeneration(answers) })
 }
 
-const report = (environment: CommandEnvironment, flags: ApplyFlags, outcome: ApplyOutcome): void => {
+const printOutcome = (environment: CommandEnvironment, flags: ApplyFlags, outcome: ApplyOutcome): void => {
   const { text, exitCode } = reportOutcome(outcome)
   environment.setExitCode(exitCode)
   if (flags.json) return environment.print(JSON.stringify(outcome))
@@ -74,9 +74,9 @@
 /** A sheet that was exported before a drain lacks its row; applying the sheet would end the drain without notice. */
 const endsDrain = ({ record, name, after }: SheetChange): boolean => record === 'plannedStops' && isDrainName(name) && after === undefined
 
-type Accepted = Extract<ApplyOutcome, { readonly kind: 'applied' | 'unchanged' }>
+type AcceptedOutcome = Extract<ApplyOutcome, { readonly kind: 'applied' | 'unchanged' }>
 
-const confirm = async (environment: CommandEnvironment, flags: ApplyFlags, { platform }: PlatformSession, { generation }: Accepted, waitSeconds: number | undefined): Promise<void> => {
+const confirmRollout = async (environment: CommandEnvironment, flags: ApplyFlags, { platform }: PlatformSession, { generation }: AcceptedOutcome, waitSeconds: number | undefined): Promise<void> => {
   if (waitSeconds === undefined) {
     if (!flags.json) environment.print('not confirmed on any router yet: see `sheet status`, or apply with --wait')
     return
@@ -86,10 +86,10 @@
   if (!rollout.isInForceEverywhere) environment.setExitCode(exitCodes.notInForce)
 }
 
-type ProblemRecord = { readonly operator: string, readonly applyId: string, readonly text: string, readonly problems: readonly SheetProblem[] }
+type RefusedSheet = { readonly operator: string, readonly applyId: string, readonly text: string, readonly problems: readonly SheetProblem[] }
 
 /** Records a sheet with problems in the audit trail as a refused change, if the platform can be reached. */
-const recordProblems = (environment: CommandEnvironment, flags: ApplyFlags, { operator, applyId, text, problems }: ProblemRecord): Promise<void> =>
+const recordRefusedSheet = (environment: CommandEnvironment, flags: ApplyFlags, { operator, applyId, text, problems }: RefusedSheet): Promise<void> =>
   withPlatform(environment, flags, async ({ store, auditTrail }) => {
     const root = await store.readRoot()
     const generation = root.ok ? root.value?.root.generation ?? 0 : 0
--- a/src/cli/sheet/_lib/readingCommands.ts
+++ b/src/cli/sheet/_lib/readOnlyCommands.ts
@@ -4,7 +4,7 @@
 import { serializeSheet } from '../../../decisions/serializeSheet/index.js'
 import type { StoreError } from '../../../services/configurationStore/index.js'
 import type { AppliedGeneration, ConfigurationRoot, Sheet } from '../../../types/index.js'
-import { askRouters, highestGeneration } from '../../_lib/askRouters.js'
+import { queryRouters, findHighestGeneration } from '../../_lib/queryRouters.js'
 import type { CommandEnvironment } from '../../_lib/commandEnvironment.js'
 import { addPlatformFlags, addRouterFlags, withPlatform, type PlatformFlags, type PlatformSession, type RouterFlags } from '../../_lib/platformSession.js'
 import { renderChanges, renderGeneration, renderHistory, renderRollout } from '../../_lib/render.js'
@@ -69,29 +69,29 @@
 const showStatus = async (environment: CommandEnvironment, flags: StatusFlags, { platform, store }: PlatformSession): Promise<void> => {
   const root = await store.readRoot()
   const accepted = root.ok ? root.value?.root : undefined
-  const { answers, vms } = await askRouters(environment, flags, platform)
-  const seen = highestGeneration(answers)
-  const rollout = evaluateRollout(Math.max(accepted?.generation ?? 0, seen), answers, vms)
-  const problem = root.ok ? explainRoot(accepted, seen) : `what was accepted last is not known: ${root.error.message}`
+  const { answers, vms } = await queryRouters(environment, flags, platform)
+  const reportedGeneration = findHighestGeneration(answers)
+  const rollout = evaluateRollout(Math.max(accepted?.generation ?? 0, reportedGeneration), answers, vms)
+  const problem = root.ok ? explainRoot(accepted, reportedGeneration) : `what was accepted last is not known: ${root.error.message}`
   const lines = [accepted === undefined ? '' : `accepted: ${renderGeneration(accepted)}`, renderRollout(rollout), problem ?? '']
   printResult(environment, flags.json, { accepted, rollout, problem }, () => lines.filter((line) => line !== '').join('\n'))
   if (!root.ok) return environment.setExitCode(exitCodes.unavailable)
   environment.setExitCode(rollout.isInForceEverywhere && problem === undefined ? exitCodes.success : exitCodes.notInForce)
 }
 
-const explainRoot = (accepted: ConfigurationRoot | undefined, seen: number): string | undefined => {
-  if (accepted === undefined && seen === 0) return NOTHING_APPLIED
-  if ((accepted?.generation ?? 0) >= seen) return undefined
-  return `routers have generation ${seen}, above the platform's ${accepted?.generation ?? 'none'}: was it restored from a backup? The next \`sheet apply\` goes above ${seen}`
+const explainRoot = (accepted: ConfigurationRoot | undefined, reportedGeneration: number): string | undefined => {
+  if (accepted === undefined && reportedGeneration === 0) return NOTHING_APPLIED
+  if ((accepted?.generation ?? 0) >= reportedGeneration) return undefined
+  return `routers have generation ${reportedGeneration}, above the platform's ${accepted?.generation ?? 'none'}: was it restored from a backup? The next \`sheet apply\` goes above ${reportedGeneration}`
 }
 
 export const createHistoryCommand = (environment: CommandEnvironment): Command => addPlatformFlags(new Command('history'))
   .description('Lists the latest accepted generations, newest first')
   .addHelpText('after', '\nExample:\n  dotterelspoke sheet history --platform http://10.0.0.2:7000\n\nExit codes: 0 listed, 2 wrong settings, 4 platform unavailable.')
   .action((flags: PlatformFlags) => withPlatform(environment, flags, async ({ store }) => {
-    const found = await store.readRoot()
-    if (!found.ok) return reportStoreError(environment, found.error)
-    const generations: readonly AppliedGeneration[] = found.value === undefined ? [] : [found.value.root, ...found.value.root.history]
+    const stored = await store.readRoot()
+    if (!stored.ok) return reportStoreError(environment, stored.error)
+    const generations: readonly AppliedGeneration[] = stored.value === undefined ? [] : [stored.value.root, ...stored.value.root.history]
     printResult(environment, flags.json, generations.map(({ generation, applyId, appliedBy, appliedAt, sheetHash }) => ({ generation, applyId, appliedBy, appliedAt, sheetHash })), () => generations.length === 0 ? NOTHING_APPLIED : renderHistory(generations))
   }))
 
--- a/src/cli/sheet/_lib/readSheetFile.ts
+++ b/src/cli/sheet/_lib/readSheetFile.ts
@@ -2,7 +2,7 @@
 import { parseSheet } from '../../../decisions/parseSheet/index.js'
 import type { Result, Sheet, SheetProblem } from '../../../types/index.js'
 import type { CommandEnvironment } from '../../_lib/commandEnvironment.js'
-import { refuseUsage } from '../../_lib/platformSession.js'
+import { reportUsageError } from '../../_lib/platformSession.js'
 import { exitCodes } from '../../exitCodes.js'
 
 export type SheetFile = { readonly text: string, readonly parsed: Result<Sheet, readonly SheetProblem[]> }
@@ -19,7 +19,7 @@
   try {
     return environment.readText(path)
   } catch (error) {
-    return refuseUsage(environment, `${path} cannot be read: ${error instanceof Error ? error.message : String(error)}`)
+    return reportUsageError(environment, `${path} cannot be read: ${error instanceof Error ? error.message : String(error)}`)
   }
 }
 
--- a/src/cli/sheet/index.ts
+++ b/src/cli/sheet/index.ts
@@ -2,7 +2,7 @@
 import { Command } from 'commander'
 import { createProcessEnvironment, type CommandEnvironment } from '../_lib/commandEnvironment.js'
 import { createApplyCommand } from './_lib/applyCommand.js'
-import { createCheckCommand, createHistoryCommand, createPlanCommand, createShowCommand, createStatusCommand } from './_lib/readingCommands.js'
+import { createCheckCommand, createHistoryCommand, createPlanCommand, createShowCommand, createStatusCommand } from './_lib/readOnlyCommands.js'
 
 /**
  * Creates the command with its subcommands.
--- a/src/cli/status/index.ts
+++ b/src/cli/status/index.ts
@@ -3,36 +3,36 @@
 import { summarizeFleet, type AccountWeights, type FleetSummary } from '../../decisions/summarizeFleet/index.js'
 import type { ConfigurationStore } from '../../services/configurationStore/index.js'
 import type { NodeStatus } from '../../types/index.js'
-import { askRouters, type RouterStatuses } from '../_lib/askRouters.js'
+import { queryRouters, type RouterStatuses } from '../_lib/queryRouters.js'
 import { createProcessEnvironment, type CommandEnvironment } from '../_lib/commandEnvironment.js'
 import { addPlatformFlags, addRouterFlags, withPlatform, type PlatformFlags, type RouterFlags } from '../_lib/platformSession.js'
-import { escapeControls, renderTable } from '../_lib/render.js'
+import { escapeControlCharacters, renderTable } from '../_lib/render.js'
 import { exitCodes } from '../exitCodes.js'
 
-const countLive = (node: NodeStatus): string => {
+const countLiveMembers = (node: NodeStatus): string => {
   const live = node.members.filter(({ state }) => state === 'live').length
   return `${live} of ${node.members.length}`
 }
 
 const renderNodes = (nodes: readonly NodeStatus[]): string => renderTable(
   ['node', 'availabilityZone', 'ready', 'generation', 'peers live', 'open'],
-  nodes.map((node) => [escapeControls(node.nodeId), node.availabilityZone, node.ready ? 'yes' : 'no', String(node.generation), countLive(node), String(node.ledger.open)])
+  nodes.map((node) => [escapeControlCharacters(node.nodeId), node.availabilityZone, node.ready ? 'yes' : 'no', String(node.generation), countLiveMembers(node), String(node.ledger.open)])
 )
 
 const renderBackendServers = ({ backendServers }: FleetSummary): string => renderTable(
   ['backendServer', 'state', 'in flight', 'routers that see it otherwise'],
   backendServers.map(({ backendServer, state, isDrained, inFlight, dissenting }) =>
-    [escapeControls(backendServer), isDrained ? 'drained' : state, String(inFlight), dissenting.map(escapeControls).join(', ')])
+    [escapeControlCharacters(backendServer), isDrained ? 'drained' : state, String(inFlight), dissenting.map(escapeControlCharacters).join(', ')])
 )
 
-const describeShare = (isOverShare: boolean | undefined): string => {
+const describeOverShare = (isOverShare: boolean | undefined): string => {
   if (isOverShare === undefined) return '?'
   return isOverShare ? 'yes' : 'no'
 }
 
 const renderAccounts = ({ accounts }: FleetSummary): string => renderTable(
   ['clientAccount', 'recent work (tokens)', 'over its share'],
-  accounts.map(({ clientAccount, tokens, isOverShare }) => [escapeControls(clientAccount), String(Math.round(tokens)), describeShare(isOverShare)])
+  accounts.map(({ clientAccount, tokens, isOverShare }) => [escapeControlCharacters(clientAccount), String(Math.round(tokens)), describeOverShare(isOverShare)])
 )
 
 const renderLedger = ({ ledger, unaccounted }: FleetSummary): string => {
@@ -49,16 +49,16 @@
 }
 
 const renderUnreachable = ({ answers }: RouterStatuses): readonly string[] =>
-  answers.flatMap((answer) => answer.kind === 'unreachable' ? [`${answer.url} did not answer: ${escapeControls(answer.message)}`] : [])
+  answers.flatMap((answer) => answer.kind === 'unreachable' ? [`${answer.url} did not answer: ${escapeControlCharacters(answer.message)}`] : [])
 
-const showStatus = (environment: CommandEnvironment, found: RouterStatuses, weights: AccountWeights | undefined, isJson: boolean): void => {
-  const summary = summarizeFleet(found.statuses, weights)
-  const unreachable = renderUnreachable(found)
-  if (isJson) environment.print(JSON.stringify({ nodes: found.statuses, unreachable, ...summary }))
-  else if (found.statuses.length > 0) environment.print([renderNodes(found.statuses), renderBackendServers(summary), renderAccounts(summary), renderLedger(summary)].join('\n'))
+const showStatus = (environment: CommandEnvironment, routerStatuses: RouterStatuses, weights: AccountWeights | undefined, isJson: boolean): void => {
+  const summary = summarizeFleet(routerStatuses.statuses, weights)
+  const unreachable = renderUnreachable(routerStatuses)
+  if (isJson) environment.print(JSON.stringify({ nodes: routerStatuses.statuses, unreachable, ...summary }))
+  else if (routerStatuses.statuses.length > 0) environment.print([renderNodes(routerStatuses.statuses), renderBackendServers(summary), renderAccounts(summary), renderLedger(summary)].join('\n'))
   for (const line of unreachable) environment.printError(line)
-  if (found.answers.length === 0) environment.printError('no router was asked: give --router or --operator-port')
-  const isWhole = found.statuses.length > 0 && unreachable.length === 0 && summary.unaccounted === 0
+  if (routerStatuses.answers.length === 0) environment.printError('no router was asked: give --router or --operator-port')
+  const isWhole = routerStatuses.statuses.length > 0 && unreachable.length === 0 && summary.unaccounted === 0
   environment.setExitCode(isWhole ? exitCodes.success : exitCodes.failure)
 }
 
@@ -75,6 +75,6 @@
   .description('Shows routers, backend servers with load and state, the accounts that use the most, and the sum of outcomes')
   .addHelpText('after', '\nExample:\n  dotterelspoke status --platform http://10.0.0.2:7000 --operator-port 8081\n\nExit codes: 0 every router answered and each request is accounted for, 1 otherwise, 2 wrong settings.')
   .action((flags: PlatformFlags & RouterFlags) => withPlatform(environment, flags, async ({ platform, store }) => {
-    const [found, weights] = await Promise.all([askRouters(environment, flags, platform), readWeights(store)])
-    showStatus(environment, found, weights, flags.json === true)
+    const [routerStatuses, weights] = await Promise.all([queryRouters(environment, flags, platform), readWeights(store)])
+    showStatus(environment, routerStatuses, weights, flags.json === true)
   }))
--- a/src/daemon/startGateway/index.ts
+++ b/src/daemon/startGateway/index.ts
@@ -22,7 +22,7 @@
   readonly settings: GatewaySettings
   readonly logger: Logger
   /** The listener for callers, if it was opened before the program was loaded. */
-  readonly earlyListener?: HandoverListener | undefined
+  readonly handoverListener?: HandoverListener | undefined
   /** Records the steps of the start, which are written to the log. */
   readonly timeline?: StartTimeline
   readonly dialect: GatewayDialect
@@ -30,7 +30,7 @@
   readonly instanceSource: InstanceSource
   /** Omitted where operators never drain zones. */
   readonly zoneDrainSource?: ZoneDrainSource | undefined
-  readonly engineMemory: PromptCacheSource
+  readonly promptCacheSource: PromptCacheSource
   readonly readinessPath: string
 }
 
@@ -39,7 +39,7 @@
   readonly readinessAddress: PeerAddress
   readonly peerAddress: PeerAddress
   /** Resolves once the gateway can serve requests. */
-  readonly whenAble: () => Promise<void>
+  readonly whenReadyToServe: () => Promise<void>
   /** Applies the settings that may change at run time: seeds, grace period, and the bounds on keys, configuration and retries. Addresses stay. */
   readonly applySettings: (settings: GatewaySettings) => void
   /** Closes everything at once, as if the process had crashed. */
@@ -49,22 +49,22 @@
 }
 
 /** Delay after which the metrics library is loaded; by then a node on a small VM has answered the callers that waited for its start. */
-const METRICS_DELAY_MS = 700
+const METRICS_LOAD_DELAY_MS = 700
 /** Path at which the operators' metrics scrapers read. */
 const METRICS_PATH = '/metrics'
 const MAXIMUM_FRAME_BYTES = 8 * 1024 * 1024
 /** Delay of acknowledgements between nodes, well below the three seconds after which a connection counts as stalled. */
 const ACKNOWLEDGE_DELAY_MS = 1_200
 /** The load balancer checks readiness once a second and stops sending after two failed checks; connections already under way still arrive. */
-const TURN_AWAY_MS = 3_200
+const BALANCER_REMOVAL_MS = 3_200
 /** After this time without a new connection or request, no more are expected. */
-const QUIET_MS = 200
+const IDLE_PERIOD_MS = 200
 /** Part of the grace period that is reserved for closing. */
 const GRACE_MARGIN_MS = 500
-const STOP_POLL_MS = 50
+const POLL_INTERVAL_MS = 50
 const MILLISECONDS_PER_SECOND = 1_000
 /** The timeline of a start is logged this long after the listeners are open; by then a first request has usually been served. */
-const TIMELINE_LIMIT_MS = 5_000
+const TIMELINE_DELAY_MS = 5_000
 
 const wait = (clock: Clock, milliseconds: number): Promise<void> => new Promise((resolve) => { clock.setTimer(milliseconds, resolve) })
 
@@ -81,12 +81,12 @@
 export const startGateway = async (options: GatewayOptions): Promise<Gateway> => {
   const { settings, dialect } = options
   const timeline = options.timeline ?? createStartTimeline()
-  let current = settings
+  let currentSettings = settings
   const clock = createSystemClock()
   const random = createSystemRandom()
   const metrics = createDeferredMetrics({
     load: async () => (await import('../../adapters/promMetrics/index.js')).createPromMetrics(),
-    delayMs: METRICS_DELAY_MS,
+    delayMs: METRICS_LOAD_DELAY_MS,
     clock,
     onFailure: (error) => options.logger.error('metrics failed to load', { reason: String(error) })
   })
@@ -105,7 +105,7 @@
   const client = createInstanceHttp({ clock, dialect })
   const node = createGatewayNode({
     settings: { ...settings, peerAddress },
-    readSettings: () => current,
+    readSettings: () => currentSettings,
     clock,
     random,
     clocks: createSystemClocks(),
@@ -113,7 +113,7 @@
     configurationSource: options.configurationSource,
     instanceSource: options.instanceSource,
     ...(options.zoneDrainSource === undefined ? {} : { zoneDrainSource: options.zoneDrainSource }),
-    promptCacheSource: options.engineMemory,
+    promptCacheSource: options.promptCacheSource,
     client,
     logger,
     metrics,
@@ -121,11 +121,11 @@
   })
   await node.start()
   const configuration = node.resolve('gatewayConfiguration')
-  let isStopping = false
+  let isShuttingDown = false
   const gatewayHttp = createGatewayHttp({
     host: settings.callerAddress.host,
     port: settings.callerAddress.port,
-    handoverListener: options.earlyListener,
+    handoverListener: options.handoverListener,
     clock,
     logger,
     dialect,
@@ -134,7 +134,7 @@
     readLimits: () => configuration.current()?.limits
   })
   const answerReadiness = (): ProbeAnswer => {
-    if (isStopping || !node.canServe()) return { status: 503, body: 'not ready' }
+    if (isShuttingDown || !node.canServe()) return { status: 503, body: 'not ready' }
     timeline.mark('ready')
     return { status: 200, body: 'ready' }
   }
@@ -151,7 +151,7 @@
   const readinessAddress = await readiness.listen()
   const metricsAddress = await metricsHttp?.listen()
   logger.info('gateway started', { zone: settings.availabilityZone, callerPort: callerAddress.port, readinessPort: readinessAddress.port, peerPort: peerAddress.port, metricsPort: metricsAddress?.port, startMs: Math.round(process.uptime() * MILLISECONDS_PER_SECOND) })
-  clock.setTimer(TIMELINE_LIMIT_MS, () => logger.info('start timeline', timeline.fields()))
+  clock.setTimer(TIMELINE_DELAY_MS, () => logger.info('start timeline', timeline.fields()))
 
   const end = async (): Promise<void> => {
     gatewayHttp.close()
@@ -162,41 +162,41 @@
     await transport.close()
   }
 
-  const whenAble = async (): Promise<void> => {
-    while (!node.canServe()) await wait(clock, STOP_POLL_MS)
+  const whenReadyToServe = async (): Promise<void> => {
+    while (!node.canServe()) await wait(clock, POLL_INTERVAL_MS)
   }
 
   const shutDown = async (): Promise<void> => {
-    const stoppedAt = clock.now()
-    isStopping = true
+    const shutdownStartedAt = clock.now()
+    isShuttingDown = true
     logger.info('gateway stopping', { open: node.resolve('forwarding').openRequests(), connections: gatewayHttp.openConnections() })
     node.resolve('membership').announceLeaving()
     gatewayHttp.beginClosing()
     // In a zone with few nodes in rotation, all of them receive new connections, including nodes that are shutting down.
-    const endsAt = stoppedAt + current.graceMs - GRACE_MARGIN_MS
+    const endsAt = shutdownStartedAt + currentSettings.graceMs - GRACE_MARGIN_MS
     node.resolve('forwarding').beginShutdown(endsAt)
-    await wait(clock, Math.min(TURN_AWAY_MS, current.graceMs / 2))
+    await wait(clock, Math.min(BALANCER_REMOVAL_MS, currentSettings.graceMs / 2))
     gatewayHttp.closeIdle()
-    const isQuiet = (): boolean => node.resolve('forwarding').openRequests() === 0 && clock.now() - gatewayHttp.lastUsedAt() > QUIET_MS
-    while (clock.now() < endsAt && !isQuiet()) {
-      await wait(clock, STOP_POLL_MS)
+    const isIdle = (): boolean => node.resolve('forwarding').openRequests() === 0 && clock.now() - gatewayHttp.lastUsedAt() > IDLE_PERIOD_MS
+    while (clock.now() < endsAt && !isIdle()) {
+      await wait(clock, POLL_INTERVAL_MS)
       gatewayHttp.closeIdle()
     }
-    logger.info('gateway stopped', { open: node.resolve('forwarding').openRequests(), ms: Math.round(clock.now() - stoppedAt) })
+    logger.info('gateway stopped', { open: node.resolve('forwarding').openRequests(), ms: Math.round(clock.now() - shutdownStartedAt) })
     await end()
   }
 
-  let stopping: Promise<void> | undefined
+  let ongoingShutdown: Promise<void> | undefined
   return {
     callerAddress,
     readinessAddress,
     peerAddress,
-    whenAble,
-    applySettings: (next) => { current = next },
+    whenReadyToServe,
+    applySettings: (next) => { currentSettings = next },
     kill: end,
     stop: () => {
-      stopping ??= shutDown()
-      return stopping
+      ongoingShutdown ??= shutDown()
+      return ongoingShutdown
     }
   }
 }
--- a/src/daemon/startRouter/index.ts
+++ b/src/daemon/startRouter/index.ts
@@ -42,10 +42,10 @@
 // The timer is cancelled at the end because a pending timer keeps the process
 // alive: a router with nothing in flight would run for its whole grace period
 // without a listener and delay the replacement of its VM.
-const waitAtMost = (clock: Clock, limitMs: number, ending: Promise<unknown>): Promise<void> =>
+const waitWithTimeout = (clock: Clock, limitMs: number, completion: Promise<unknown>): Promise<void> =>
   new Promise((resolve, reject) => {
     const timer = clock.setTimer(limitMs, resolve)
-    ending.then(() => resolve(), reject).finally(timer.cancel)
+    completion.then(() => resolve(), reject).finally(timer.cancel)
   })
 
 /**
@@ -81,10 +81,10 @@
     logger,
     metrics
   })
-  const listener = await transport.listen()
+  const listenAddress = await transport.listen()
   const peerAddress: PeerAddress = {
-    host: settings.advertisedHost === '' ? listener.host : settings.advertisedHost,
-    port: settings.advertisedPort === 0 ? listener.port : settings.advertisedPort
+    host: settings.advertisedHost === '' ? listenAddress.host : settings.advertisedHost,
+    port: settings.advertisedPort === 0 ? listenAddress.port : settings.advertisedPort
   }
   const node = createRouterNode({ settings, clock, random, platform, transport, peerAddress: () => peerAddress, backendClient, logger, metrics })
   await node.start()
@@ -109,18 +109,18 @@
     node.beginLeaving()
     callerHttp.setReady(false)
     await wait(clock, settings.shutdownDelayMs)
-    await waitAtMost(clock, settings.shutdownGraceMs, Promise.all([callerHttp.close(), dispatch.whenIdle()]))
+    await waitWithTimeout(clock, settings.shutdownGraceMs, Promise.all([callerHttp.close(), dispatch.whenIdle()]))
     logger.info('router stopped', { open: dispatch.ledger().open })
     await node.stop()
     await Promise.all([operatorHttp.close(), transport.close(), backendClient.close(), platform.close()])
   }
 
-  let stopping: Promise<void> | undefined
+  let ongoingShutdown: Promise<void> | undefined
   return {
     addresses: { caller: `http://${formatAddress(caller)}`, operator, peer: formatAddress(peerAddress) },
     stop: () => {
-      stopping ??= shutDown()
-      return stopping
+      ongoingShutdown ??= shutDown()
+      return ongoingShutdown
     }
   }
 }
--- a/test/platform/_lib/startGatewayFleet.ts
+++ b/test/platform/_lib/startGatewayFleet.ts
@@ -69,12 +69,12 @@
       configurationSource: createConfigurationSource(client),
       instanceSource: createInstanceSource(client),
       zoneDrainSource: createZoneDrainSource(client),
-      engineMemory: createPromptCacheSource(),
+      promptCacheSource: createPromptCacheSource(),
       readinessPath: '/readyz'
     })
   }
   for (let index = 0; index < (options.nodes ?? 1); index++) gateways.push(await startNode(index))
-  for (const gateway of gateways) await gateway.whenAble()
+  for (const gateway of gateways) await gateway.whenReadyToServe()
 
   return {
     ...platform,
@@ -84,7 +84,7 @@
     restart: async (index) => {
       await gateways[index]!.kill()
       gateways[index] = await startNode(index)
-      await gateways[index].whenAble()
+      await gateways[index].whenReadyToServe()
     },
     cutFromStore: (index) => clients[index]!.cut(),
     close: async () => {
