--- a/src/cli/load/index.ts
+++ b/src/cli/load/index.ts
@@ -7,7 +7,7 @@
 import { formatLoadSummary } from '../../load/formatLoadSummary/index.js'
 import { DEFAULT_LOAD_PLAN, planLoad, type LoadPlanOptions } from '../../load/planLoad/index.js'
 import { runLoad, type LoadProgress } from '../../load/runLoad/index.js'
-import { parseNonNegativeNumber, parsePositiveNumber, parsePositiveInteger } from '../_lib/parseNumber.js'
+import { parseNonNegativeNumber, parsePositiveInteger, parsePositiveNumber } from '../_lib/parseNumber.js'
 import { exitCodes } from '../exitCodes.js'
 
 /** Options of the load plan that a flag of the same name sets. */
--- a/src/daemon/startGateway/index.ts
+++ b/src/daemon/startGateway/index.ts
@@ -40,7 +40,7 @@
   readonly peerAddress: PeerAddress
   /** Resolves once the gateway can serve requests. */
   readonly whenReadyToServe: () => Promise<void>
-  /** Applies the settings that may change at run time: seeds, grace period, and the bounds on keys, configuration and retries. Addresses stay. */
+  /** Applies the settings that may change at run time: seeds, grace period, and the bounds on load, retries, and the age of keys and configuration. Addresses stay. */
   readonly applySettings: (settings: GatewaySettings) => void
   /** Closes everything at once, as if the process had crashed. */
   readonly kill: () => Promise<void>
