--- a/src/cli/demo/_lib/sendChatTurn.ts
+++ b/src/cli/demo/_lib/sendChatTurn.ts
@@ -47,7 +47,7 @@
  * @param router - Origin of a router.
  * @param key - Key of the client account.
  * @param request - Model and messages so far.
- * @returns The answer, the instance that served it, and the number of prompt tokens found in the prompt cache.
+ * @returns The answer, the backend server that served it, and the number of prompt tokens found in the prompt cache.
  */
 export const sendChatTurn = async (router: string, key: string, request: { readonly model: string, readonly messages: readonly ChatMessage[] }): Promise<ChatTurn> => {
   const response = await fetch(`${router}/v1/chat/completions`, {
