--- a/src/cli/_lib/askRouters.ts
+++ b/src/cli/_lib/queryRouters.ts
@@ -1,4 +1,4 @@
-/** Asking every known router for its status, all at once. */
+/** Queries the status of every known router, in parallel batches. */
 import type { OperatorClient } from '../../adapters/operatorClient/index.js'
 import type { RouterAnswer } from '../../decisions/evaluateRollout/index.js'
 import { mapInBatches } from '../../kernel/index.js'
@@ -9,33 +9,33 @@
 export type RouterStatuses = {
   readonly answers: readonly RouterAnswer[]
   readonly statuses: readonly NodeStatus[]
-  /** `undefined` when the platform's list could not be read. */
+  /** `undefined` if the VM list of the platform could not be read. */
   readonly vms: readonly Vm[] | undefined
 }
 
-const MAXIMUM_REQUESTS = 32
+const MAXIMUM_CONCURRENT_REQUESTS = 32
 
-export const askRouters = async (environment: CommandEnvironment, flags: RouterFlags, platform: Platform): Promise<RouterStatuses> => {
+export const queryRouters = async (environment: CommandEnvironment, flags: RouterFlags, platform: Platform): Promise<RouterStatuses> => {
   const list = await platform.listVms()
   const vms = list.ok ? list.value : undefined
   const urls = findRouterUrls(environment, flags, vms ?? [])
   const client = createRouterClient(environment, flags)
   try {
-    return { vms, ...await askAll(client, urls) }
+    return { vms, ...await queryAll(client, urls) }
   } finally {
     await client.close()
   }
 }
 
-const askAll = async (client: OperatorClient, urls: readonly string[]): Promise<Pick<RouterStatuses, 'answers' | 'statuses'>> => {
-  const replies = await mapInBatches(urls, MAXIMUM_REQUESTS, async (url) => ({ url, status: await client.readStatus(url) }))
+const queryAll = async (client: OperatorClient, urls: readonly string[]): Promise<Pick<RouterStatuses, 'answers' | 'statuses'>> => {
+  const replies = await mapInBatches(urls, MAXIMUM_CONCURRENT_REQUESTS, async (url) => ({ url, status: await client.readStatus(url) }))
   return {
     answers: replies.map(({ url, status }) => status.ok ? { kind: 'answered', url, report: status.value } : { kind: 'unreachable', url, message: status.error }),
     statuses: replies.flatMap(({ status }) => status.ok ? [status.value] : [])
   }
 }
 
-/** URLs that were given stand alone; else the VM list with the port that all routers use. */
+/** Returns the router URLs that were given; without any, one for each router of the VM list, at the operator port that all routers share. */
 export const findRouterUrls = (environment: CommandEnvironment, flags: RouterFlags, vms: readonly Vm[]): readonly string[] => {
   const given = flags.router ?? environment.readVariable('DOTTERELSPOKE_ROUTER_URLS')?.split(',') ?? []
   const urls = given.map((url) => url.trim()).filter((url) => URL.canParse(url))
@@ -45,5 +45,5 @@
   return vms.filter(({ kind }) => kind === 'router').map(({ address }) => `http://${address.replace(/:\d+$/, '')}:${port}`)
 }
 
-export const highestGeneration = (answers: readonly RouterAnswer[]): number =>
+export const findHighestGeneration = (answers: readonly RouterAnswer[]): number =>
   Math.max(0, ...answers.map((answer) => answer.kind === 'answered' ? answer.report.generation : 0))
--- a/src/cli/_lib/reportOutcome.ts
+++ b/src/cli/_lib/reportOutcome.ts
@@ -1,13 +1,13 @@
-/** What each outcome of an apply means to an operator, in words and as exit code. */
+/** Maps the outcome of an apply to a message for the operator and an exit code. */
 import type { ApplyOutcome } from '../../services/configurationStore/index.js'
 import { exitCodes } from '../exitCodes.js'
 import { renderChanges, renderGeneration } from './render.js'
 
 export type OutcomeReport = { readonly text: string, readonly exitCode: number }
 
-type Reports = { readonly [Kind in ApplyOutcome['kind']]: (outcome: Extract<ApplyOutcome, { readonly kind: Kind }>) => OutcomeReport }
+type OutcomeReporters = { readonly [Kind in ApplyOutcome['kind']]: (outcome: Extract<ApplyOutcome, { readonly kind: Kind }>) => OutcomeReport }
 
-const reports: Reports = {
+const reporters: OutcomeReporters = {
   applied: ({ generation, changes, replacedBy, isAuditSettled }) => ({
     exitCode: exitCodes.success,
     text: [
@@ -34,4 +34,4 @@
   damaged: ({ message }) => ({ exitCode: exitCodes.unavailable, text: `not accepted: what the platform holds cannot be read: ${message}` })
 }
 
-export const reportOutcome = (outcome: ApplyOutcome): OutcomeReport => reports[outcome.kind](outcome as never)
+export const reportOutcome = (outcome: ApplyOutcome): OutcomeReport => reporters[outcome.kind](outcome as never)
--- a/src/cli/createProgram/index.ts
+++ b/src/cli/createProgram/index.ts
@@ -19,14 +19,14 @@
   .addHelpText('after', '\nExample:\n  dotterelspoke version')
   .action(() => { console.log(version) })
 
-/** Commander ends with 1 for a wrong flag; the project's code for that is 2. */
-const exitWithProjectCode = (command: Command): void => {
+/** Commander exits with 1 on a usage error; this program exits with 2. */
+const overrideExitCodes = (command: Command): void => {
   command.exitOverride((error) => process.exit(error.exitCode === 0 ? exitCodes.success : exitCodes.usage))
-  command.commands.forEach(exitWithProjectCode)
+  command.commands.forEach(overrideExitCodes)
 }
 
 /**
- * Creates the whole command line.
+ * Creates the program with all its commands.
  *
  * @returns The program, ready to parse arguments.
  *
@@ -51,6 +51,6 @@
     .addCommand(createSheetCommand(environment))
     .addCommand(createStatusCommand(environment))
     .addCommand(createVersionCommand())
-  exitWithProjectCode(program)
+  overrideExitCodes(program)
   return program
 }
--- a/src/daemon/startGateway/index.ts
+++ b/src/daemon/startGateway/index.ts
@@ -1,6 +1,7 @@
 /**
- * A gateway node with its real listeners. What speaks to the platform is handed
- * in: the sources of configuration and backend servers, and the wire's names.
+ * Starts a gateway node with its real listeners. The parts that depend on the
+ * platform are passed in: the sources of configuration and backend servers, and
+ * the dialect, which decodes and encodes the wire formats.
  */
 import { createBoundedLogger } from '../../adapters/boundedLogger/index.js'
 import { createDeferredMetrics } from '../../adapters/deferredMetrics/index.js'
@@ -20,16 +21,16 @@
 export type GatewayOptions = {
   readonly settings: GatewaySettings
   readonly logger: Logger
-  /** The callers' listener, where it was opened before the program was loaded. */
-  readonly earlyListener?: HandoverListener | undefined
-  /** Takes the steps of the start; they are written to the log. */
+  /** The listener for callers, if it was opened before the program was loaded. */
+  readonly handoverListener?: HandoverListener | undefined
+  /** Records the steps of the start, which are written to the log. */
   readonly timeline?: StartTimeline
   readonly dialect: GatewayDialect
   readonly configurationSource: ConfigurationSource
   readonly instanceSource: InstanceSource
-  /** Left out where operators never drain zones. */
+  /** Omitted where operators never drain zones. */
   readonly zoneDrainSource?: ZoneDrainSource | undefined
-  readonly engineMemory: PromptCacheSource
+  readonly promptCacheSource: PromptCacheSource
   readonly readinessPath: string
 }
 
@@ -37,40 +38,40 @@
   readonly callerAddress: PeerAddress
   readonly readinessAddress: PeerAddress
   readonly peerAddress: PeerAddress
-  /** Resolves once it can serve. */
-  readonly whenAble: () => Promise<void>
-  /** Puts in force what may change while it runs: seeds, grace, and the bounds on keys, configuration and repeats. Addresses stay. */
+  /** Resolves once the gateway can serve requests. */
+  readonly whenReadyToServe: () => Promise<void>
+  /** Applies the settings that may change at run time: seeds, grace period, and the bounds on load, retries, and the age of keys and configuration. Addresses stay. */
   readonly applySettings: (settings: GatewaySettings) => void
-  /** Ends at once, as when its process dies. */
+  /** Closes everything at once, as if the process had crashed. */
   readonly kill: () => Promise<void>
-  /** Fails the readiness, serves on, and resolves once nothing is open or the grace is nearly over. */
+  /** Fails the readiness check but continues to serve; resolves once nothing is open or the grace period is nearly over. */
   readonly stop: () => Promise<void>
 }
 
-/** By then a node on a small VM has answered the callers that waited for its start. */
-const METRICS_DELAY_MS = 700
-/** Where operators' scrapers read the metrics. */
+/** Delay after which the metrics library is loaded; by then a node on a small VM has answered the callers that waited for its start. */
+const METRICS_LOAD_DELAY_MS = 700
+/** Path at which the operators' metrics scrapers read. */
 const METRICS_PATH = '/metrics'
 const MAXIMUM_FRAME_BYTES = 8 * 1024 * 1024
-/** Acknowledgements between nodes, well below the three seconds after which a link counts as stalled. */
+/** Delay of acknowledgements between nodes, well below the three seconds after which a connection counts as stalled. */
 const ACKNOWLEDGE_DELAY_MS = 1_200
-/** The balancer asks once a second and turns away after two misses; a connection that is then on its way still comes. */
-const TURN_AWAY_MS = 3_200
-/** Without a new connection or request for so long, nothing more is coming. */
-const QUIET_MS = 200
-/** Kept of the grace period for the end itself. */
+/** The load balancer checks readiness once a second and stops sending after two failed checks; connections already under way still arrive. */
+const BALANCER_REMOVAL_MS = 3_200
+/** After this time without a new connection or request, no more are expected. */
+const IDLE_PERIOD_MS = 200
+/** Part of the grace period that is reserved for closing. */
 const GRACE_MARGIN_MS = 500
-const STOP_POLL_MS = 50
+const POLL_INTERVAL_MS = 50
 const MILLISECONDS_PER_SECOND = 1_000
-/** The timeline of a start is written once a request was served, and no later than this. */
-const TIMELINE_LIMIT_MS = 5_000
+/** The timeline of a start is logged this long after the listeners are open; by then a first request has usually been served. */
+const TIMELINE_DELAY_MS = 5_000
 
 const wait = (clock: Clock, milliseconds: number): Promise<void> => new Promise((resolve) => { clock.setTimer(milliseconds, resolve) })
 
 /**
  * Starts a gateway.
  *
- * @param options - Checked settings, the log, and what speaks to the platform.
+ * @param options - Validated settings, the logger, and the parts that depend on the platform.
  * @returns The running gateway.
  *
  * @example
@@ -80,12 +81,12 @@
 export const startGateway = async (options: GatewayOptions): Promise<Gateway> => {
   const { settings, dialect } = options
   const timeline = options.timeline ?? createStartTimeline()
-  let current = settings
+  let currentSettings = settings
   const clock = createSystemClock()
   const random = createSystemRandom()
   const metrics = createDeferredMetrics({
     load: async () => (await import('../../adapters/promMetrics/index.js')).createPromMetrics(),
-    delayMs: METRICS_DELAY_MS,
+    delayMs: METRICS_LOAD_DELAY_MS,
     clock,
     onFailure: (error) => options.logger.error('metrics failed to load', { reason: String(error) })
   })
@@ -104,7 +105,7 @@
   const client = createInstanceHttp({ clock, dialect })
   const node = createGatewayNode({
     settings: { ...settings, peerAddress },
-    readSettings: () => current,
+    readSettings: () => currentSettings,
     clock,
     random,
     clocks: createSystemClocks(),
@@ -112,7 +113,7 @@
     configurationSource: options.configurationSource,
     instanceSource: options.instanceSource,
     ...(options.zoneDrainSource === undefined ? {} : { zoneDrainSource: options.zoneDrainSource }),
-    promptCacheSource: options.engineMemory,
+    promptCacheSource: options.promptCacheSource,
     client,
     logger,
     metrics,
@@ -120,11 +121,11 @@
   })
   await node.start()
   const configuration = node.resolve('gatewayConfiguration')
-  let isStopping = false
+  let isShuttingDown = false
   const gatewayHttp = createGatewayHttp({
     host: settings.callerAddress.host,
     port: settings.callerAddress.port,
-    handoverListener: options.earlyListener,
+    handoverListener: options.handoverListener,
     clock,
     logger,
     dialect,
@@ -133,7 +134,7 @@
     readLimits: () => configuration.current()?.limits
   })
   const answerReadiness = (): ProbeAnswer => {
-    if (isStopping || !node.canServe()) return { status: 503, body: 'not ready' }
+    if (isShuttingDown || !node.canServe()) return { status: 503, body: 'not ready' }
     timeline.mark('ready')
     return { status: 200, body: 'ready' }
   }
@@ -150,7 +151,7 @@
   const readinessAddress = await readiness.listen()
   const metricsAddress = await metricsHttp?.listen()
   logger.info('gateway started', { zone: settings.availabilityZone, callerPort: callerAddress.port, readinessPort: readinessAddress.port, peerPort: peerAddress.port, metricsPort: metricsAddress?.port, startMs: Math.round(process.uptime() * MILLISECONDS_PER_SECOND) })
-  clock.setTimer(TIMELINE_LIMIT_MS, () => logger.info('start timeline', timeline.fields()))
+  clock.setTimer(TIMELINE_DELAY_MS, () => logger.info('start timeline', timeline.fields()))
 
   const end = async (): Promise<void> => {
     gatewayHttp.close()
@@ -161,41 +162,41 @@
     await transport.close()
   }
 
-  const whenAble = async (): Promise<void> => {
-    while (!node.canServe()) await wait(clock, STOP_POLL_MS)
+  const whenReadyToServe = async (): Promise<void> => {
+    while (!node.canServe()) await wait(clock, POLL_INTERVAL_MS)
   }
 
   const shutDown = async (): Promise<void> => {
-    const stoppedAt = clock.now()
-    isStopping = true
+    const shutdownStartedAt = clock.now()
+    isShuttingDown = true
     logger.info('gateway stopping', { open: node.resolve('forwarding').openRequests(), connections: gatewayHttp.openConnections() })
     node.resolve('membership').announceLeaving()
     gatewayHttp.beginClosing()
-    // A zone with few nodes in rotation gets new connections on all of them, stopping ones included.
-    const endsAt = stoppedAt + current.graceMs - GRACE_MARGIN_MS
+    // In a zone with few nodes in rotation, all of them receive new connections, including nodes that are shutting down.
+    const endsAt = shutdownStartedAt + currentSettings.graceMs - GRACE_MARGIN_MS
     node.resolve('forwarding').beginShutdown(endsAt)
-    await wait(clock, Math.min(TURN_AWAY_MS, current.graceMs / 2))
+    await wait(clock, Math.min(BALANCER_REMOVAL_MS, currentSettings.graceMs / 2))
     gatewayHttp.closeIdle()
-    const isQuiet = (): boolean => node.resolve('forwarding').openRequests() === 0 && clock.now() - gatewayHttp.lastUsedAt() > QUIET_MS
-    while (clock.now() < endsAt && !isQuiet()) {
-      await wait(clock, STOP_POLL_MS)
+    const isIdle = (): boolean => node.resolve('forwarding').openRequests() === 0 && clock.now() - gatewayHttp.lastUsedAt() > IDLE_PERIOD_MS
+    while (clock.now() < endsAt && !isIdle()) {
+      await wait(clock, POLL_INTERVAL_MS)
       gatewayHttp.closeIdle()
     }
-    logger.info('gateway stopped', { open: node.resolve('forwarding').openRequests(), ms: Math.round(clock.now() - stoppedAt) })
+    logger.info('gateway stopped', { open: node.resolve('forwarding').openRequests(), ms: Math.round(clock.now() - shutdownStartedAt) })
     await end()
   }
 
-  let stopping: Promise<void> | undefined
+  let ongoingShutdown: Promise<void> | undefined
   return {
     callerAddress,
     readinessAddress,
     peerAddress,
-    whenAble,
-    applySettings: (next) => { current = next },
+    whenReadyToServe,
+    applySettings: (next) => { currentSettings = next },
     kill: end,
     stop: () => {
-      stopping ??= shutDown()
-      return stopping
+      ongoingShutdown ??= shutDown()
+      return ongoingShutdown
     }
   }
 }
--- a/src/daemon/startRouter/index.ts
+++ b/src/daemon/startRouter/index.ts
@@ -1,6 +1,6 @@
 /**
- * The router daemon: a node with the real adapters, from its listeners to a
- * shutdown that cuts off no request in flight.
+ * Starts the router daemon: a node with the real adapters and listeners, and a
+ * graceful shutdown that lets requests in flight finish.
  */
 import { createBackendHttp } from '../../adapters/backendHttp/index.js'
 import { createCallerHttp } from '../../adapters/callerHttp/index.js'
@@ -26,12 +26,12 @@
 
 export type Router = {
   readonly addresses: RouterAddresses
-  /** Fails the readiness, finishes what is in flight, and closes everything. */
+  /** Fails the readiness check, lets requests in flight finish, and closes everything. */
   readonly stop: () => Promise<void>
 }
 
 export type RouterOptions = {
-  /** Where logs go; standard error by default. */
+  /** Destination of the logs; standard error by default. */
   readonly logger?: Logger
 }
 
@@ -39,24 +39,24 @@
 
 const wait = (clock: Clock, delayMs: number): Promise<void> => new Promise((resolve) => { clock.setTimer(delayMs, resolve) })
 
-// A timer that is left pending keeps the process alive: a router that had
-// nothing in flight would otherwise stay for its whole grace period, without a
-// listener, and whoever replaces the VM would wait for it.
-const waitAtMost = (clock: Clock, limitMs: number, ending: Promise<unknown>): Promise<void> =>
+// The timer is cancelled at the end because a pending timer keeps the process
+// alive: a router with nothing in flight would run for its whole grace period
+// without a listener and delay the replacement of its VM.
+const waitWithTimeout = (clock: Clock, limitMs: number, completion: Promise<unknown>): Promise<void> =>
   new Promise((resolve, reject) => {
     const timer = clock.setTimer(limitMs, resolve)
-    ending.then(() => resolve(), reject).finally(timer.cancel)
+    completion.then(() => resolve(), reject).finally(timer.cancel)
   })
 
 /**
  * Starts a router.
  *
- * Stopping goes in the order that lets no caller see an error: the readiness
- * fails and peers are told while requests are still taken, so that a balancer
- * has time to turn away; then nothing new is taken and what is in flight runs
- * to its end; then the rest is closed.
+ * The order of the shutdown lets no caller see an error. First the readiness
+ * check fails and peers are notified while requests are still accepted, so that
+ * a load balancer has time to stop sending. Then no new requests are accepted
+ * and those in flight finish. Then everything else is closed.
  *
- * @param settings - Checked settings.
+ * @param settings - Validated settings.
  * @param options - The logger.
  * @returns The running router.
  *
@@ -81,10 +81,10 @@
     logger,
     metrics
   })
-  const listener = await transport.listen()
+  const listenAddress = await transport.listen()
   const peerAddress: PeerAddress = {
-    host: settings.advertisedHost === '' ? listener.host : settings.advertisedHost,
-    port: settings.advertisedPort === 0 ? listener.port : settings.advertisedPort
+    host: settings.advertisedHost === '' ? listenAddress.host : settings.advertisedHost,
+    port: settings.advertisedPort === 0 ? listenAddress.port : settings.advertisedPort
   }
   const node = createRouterNode({ settings, clock, random, platform, transport, peerAddress: () => peerAddress, backendClient, logger, metrics })
   await node.start()
@@ -109,18 +109,18 @@
     node.beginLeaving()
     callerHttp.setReady(false)
     await wait(clock, settings.shutdownDelayMs)
-    await waitAtMost(clock, settings.shutdownGraceMs, Promise.all([callerHttp.close(), dispatch.whenIdle()]))
+    await waitWithTimeout(clock, settings.shutdownGraceMs, Promise.all([callerHttp.close(), dispatch.whenIdle()]))
     logger.info('router stopped', { open: dispatch.ledger().open })
     await node.stop()
     await Promise.all([operatorHttp.close(), transport.close(), backendClient.close(), platform.close()])
   }
 
-  let stopping: Promise<void> | undefined
+  let ongoingShutdown: Promise<void> | undefined
   return {
     addresses: { caller: `http://${formatAddress(caller)}`, operator, peer: formatAddress(peerAddress) },
     stop: () => {
-      stopping ??= shutDown()
-      return stopping
+      ongoingShutdown ??= shutDown()
+      return ongoingShutdown
     }
   }
 }
