--- a/src/emulator/_lib/backendFaults.ts
+++ b/src/emulator/_lib/backendFaults.ts
@@ -1,8 +1,8 @@
-/** The faults that both kinds of backend server stand-in have. */
+/** The faults that both kinds of emulated backend server have. */
 import type { Clock } from '../../types/index.js'
 import { createFaultSwitches, type FaultSwitches } from '../createFaultSwitches/index.js'
 
-/** Faults of the connection, of the request, of the answer, and of what the server says of itself. */
+/** Faults of the connection, of the request, of the answer, and of the state that the server reports. */
 export type BackendFault =
   | 'refuseConnections' | 'flapping'
   | 'resetAfterRead' | 'crossedAnswer'
@@ -17,7 +17,7 @@
 ]
 
 /**
- * Creates the switches of a backend server's faults, all off.
+ * Creates the fault switches of an emulated backend server, all off.
  *
  * @returns The switches.
  *
@@ -27,14 +27,14 @@
 export const createBackendFaults = (): BackendFaults => createFaultSwitches(BACKEND_FAULTS)
 
 /**
- * Tells whether the server takes no connections now.
+ * Checks whether the server refuses connections now.
  *
- * A flapping server is up and down by turns of `ms` milliseconds each, and
- * begins with a turn that is down or up as the clock has it.
+ * A flapping server alternates between up and down every `ms` milliseconds. The
+ * phase depends on the clock, not on when the fault was turned on.
  *
- * @param faults - The switches.
- * @param clock - Gives the turn.
- * @returns Whether a new connection is reset.
+ * @param faults - The fault switches.
+ * @param clock - Determines the phase of a flapping server.
+ * @returns Whether new connections are reset.
  *
  * @example
  * isDown(createBackendFaults(), clock) // => false
--- a/src/emulator/_lib/createAnswerWriter.ts
+++ b/src/emulator/_lib/createAnswerWriter.ts
@@ -1,10 +1,10 @@
-/** Writes an answer piece by piece to a raw response, and the faults that spoil one on its way. */
+/** Writes an answer in pieces to a raw response, and applies faults to it. */
 import type { ServerResponse } from 'node:http'
 import type { Clock } from '../../types/index.js'
 import type { FaultSetting } from '../createFaultSwitches/index.js'
 import type { BackendFault, BackendFaults } from './backendFaults.js'
 
-/** A piece is one event of a stream, or some bytes of a whole answer. */
+/** A piece is one event of a stream, or some characters of an answer that is not streamed. */
 export type AnswerWriter = {
   readonly head: (status: number, headers: Readonly<Record<string, string>>) => void
   readonly piece: (text: string) => void
@@ -25,7 +25,7 @@
   end: () => { response.end() }
 })
 
-/** Lets `after` pieces through, then runs `stop` once in place of all that follows. */
+/** Writes the first `after` pieces, then calls `stop` once and drops all that follows. */
 const stopAfter = (writer: AnswerWriter, after: number, stop: () => void): AnswerWriter => {
   let left = after
   let stopped = false
@@ -86,9 +86,9 @@
   }
 }
 
-// The pieces before the cut are flushed first: a destroyed socket drops what
-// is still buffered, and the cut would come earlier than was asked for. A cut
-// before the first piece lets no byte out, not even the status line.
+// The pieces before the cut are flushed first: a destroyed socket drops what is
+// still buffered, and the answer would be cut earlier than requested. A cut before
+// the first piece sends no byte at all, not even the status line.
 const cutConnection = (response: ServerResponse, after: number): void => {
   const destroy = (): void => { response.socket?.destroy() }
   if (after === 0) destroy()
@@ -104,13 +104,13 @@
 }
 
 /**
- * Creates a writer of one answer. At most one of the faults that are on spoils
- * it, the first in the order of the table; the others wait for later answers,
- * so that with several on, each can be told from the others.
+ * Creates a writer of one answer. At most one of the active faults is applied to
+ * it, the first in the order of the table. The others apply to later answers, so
+ * that the effects of several active faults can be told apart.
  *
- * @param response - Where the answer goes.
- * @param faults - The fault that strikes is used up by one.
- * @param clock - Times a late answer.
+ * @param response - Response that the answer is written to.
+ * @param faults - The fault switches; a counted fault that is applied is decremented.
+ * @param clock - Times the delay of a late answer.
  * @returns The writer.
  *
  * @example
@@ -125,12 +125,13 @@
 }
 
 /**
- * Writes a whole answer, in small pieces so that a fault can strike inside it.
+ * Writes an answer that is not streamed, in small pieces so that a fault can
+ * apply in the middle of it.
  *
- * @param writer - Where it goes.
+ * @param writer - Writer of the answer.
  * @param status - HTTP status.
- * @param headers - Headers besides the content length.
- * @param body - The whole body.
+ * @param headers - Headers other than the content length.
+ * @param body - The complete body.
  *
  * @example
  * writeWhole(writer, 200, { 'content-type': 'application/json' }, '{}')
--- a/src/emulator/_lib/createBackendFrame.ts
+++ b/src/emulator/_lib/createBackendFrame.ts
@@ -1,4 +1,4 @@
-/** What both kinds of backend server stand-in share: control routes, load report, faults of connections. */
+/** Common part of both kinds of emulated backend server: control routes, load report and connection faults. */
 import fastify, { type FastifyInstance, type FastifyReply, type FastifyRequest } from 'fastify'
 import type { Clock, LoadReport, RequestPriority } from '../../types/index.js'
 import type { Journal } from '../createJournal/index.js'
@@ -18,7 +18,7 @@
   readonly report: () => LoadReport
 }
 
-/** What a router tells of a request in its headers. */
+/** Fields of a request that a router sends in headers. */
 export type RequestHeaders = {
   readonly requestId: string
   readonly idempotencyKey: string | undefined
@@ -29,10 +29,10 @@
 const BODY_LIMIT = 10_000_000
 
 /**
- * Creates a server without routes of its own.
+ * Creates a server that has the common routes only.
  *
- * @param options - Clock, faults, and what the control routes show.
- * @returns The server to add routes to, and how to let it listen.
+ * @param options - Clock, faults, journal and load report.
+ * @returns The server to add routes to, and a function that starts it.
  *
  * @example
  * const frame = createBackendFrame({ clock, faults, journal, report })
@@ -47,8 +47,8 @@
     faults.take('refuseConnections')
     socket.resetAndDestroy()
   })
-  // An idle connection kept from before would let requests through to a
-  // server that is meant to be unreachable.
+  // Requests on an idle keep-alive connection would still reach a server that is
+  // meant to be unreachable.
   faults.onChange(() => {
     if (isDown(faults, clock)) server.server.closeIdleConnections()
   })
@@ -67,10 +67,10 @@
 }
 
 /**
- * Reads the headers by which a router describes a request.
+ * Reads the headers in which a router describes a request.
  *
  * @param request - The request.
- * @returns Its fields, with defaults for a caller that is no router.
+ * @returns The fields, with defaults for a caller that is not a router.
  *
  * @example
  * const { requestId } = readRequestHeaders(request)
@@ -89,11 +89,11 @@
 }
 
 /**
- * Sends the documented refusal, which alone proves that a request was not run.
+ * Sends the refusal with `x-not-run`, which is the only proof that a request was not run.
  *
- * @param reply - Where it goes.
- * @param requestId - Echoed.
- * @param reason - Why.
+ * @param reply - Reply to send.
+ * @param requestId - Returned in `x-request-id`.
+ * @param reason - Reason of the refusal.
  * @returns The reply.
  *
  * @example
@@ -103,10 +103,10 @@
   reply.code(503).headers({ 'x-not-run': reason, 'x-request-id': requestId }).send({ error: { message: `not run: ${reason}`, code: reason } })
 
 /**
- * Resets the connection of a request without any answer.
+ * Resets the connection of a request without an answer.
  *
  * @param request - The request.
- * @param reply - Taken out of the server's hands.
+ * @param reply - Its reply, which is hijacked so that Fastify does not send it.
  *
  * @example
  * dropConnection(request, reply)
--- a/src/emulator/_lib/listen.ts
+++ b/src/emulator/_lib/listen.ts
@@ -1,13 +1,13 @@
-/** Starting and stopping the listeners of a stand-in. */
+/** Starts and stops the listeners of an emulated server. */
 import type { FastifyInstance } from 'fastify'
 
 export type ListenAddress = { readonly host?: string | undefined, readonly port?: number | undefined }
 
-/** A stand-in that listens. */
+/** An emulated server that is listening. */
 export type EmulatedServer = {
-  /** Origin of the contract's routes. */
+  /** Origin of the emulated routes. */
   readonly url: string
-  /** Origin of the control routes alone, which no fault touches. */
+  /** Origin of the server that has the control routes only, which no fault affects. */
   readonly controlUrl: string
   readonly close: () => Promise<void>
 }
@@ -15,12 +15,12 @@
 const LOOPBACK = '127.0.0.1'
 
 /**
- * Lets the server and its control server listen.
+ * Starts the server and its control server.
  *
- * @param server - The stand-in.
- * @param control - Its control server, which gets a port of its own.
- * @param address - Where the stand-in listens; loopback and an ephemeral port by default.
- * @returns Both origins, and how to close both.
+ * @param server - The emulated server.
+ * @param control - Its control server, which listens on an ephemeral port of its own.
+ * @param address - Address of the emulated server; loopback and an ephemeral port by default.
+ * @returns Both origins, and a function that closes both servers.
  *
  * @example
  * const { url } = await listen(server, control, { port: 0 })
--- a/src/emulator/_lib/registerControlRoutes.ts
+++ b/src/emulator/_lib/registerControlRoutes.ts
@@ -1,18 +1,18 @@
-/** The routes by which a test steers a stand-in and reads what it did. */
+/** Control routes of an emulated server: tests turn faults on and off and read what it has done. */
 import fastify, { type FastifyInstance } from 'fastify'
 import { faultOrderSchema, type FaultSwitches } from '../createFaultSwitches/index.js'
 
 export type ControlOptions<Name extends string> = {
   readonly faults: FaultSwitches<Name>
-  /** Further read-only pages, by path: what each answers to `GET`. */
+  /** Further read-only routes: for each path, a function that builds the answer to `GET`. */
   readonly pages: Readonly<Record<string, () => unknown>>
 }
 
 /**
  * Adds `POST`, `GET` and `DELETE /faults` and the given pages to a server.
  *
- * @param server - Where the routes go.
- * @param options - The switches and the pages.
+ * @param server - Server that the routes are added to.
+ * @param options - The fault switches and the pages.
  *
  * @example
  * registerControlRoutes(server, { faults, pages: { '/calls': () => counts } })
@@ -33,12 +33,12 @@
 }
 
 /**
- * Creates a second server with the control routes alone.
+ * Creates a separate server with the control routes alone.
  *
- * A stand-in that refuses connections could not be told to stop doing so
- * through its own port; this one stays reachable.
+ * It stays reachable while the emulated server refuses connections at its own
+ * port, so that this fault can be turned off again.
  *
- * @param options - The switches and the pages.
+ * @param options - The fault switches and the pages.
  * @returns A server that does not listen yet.
  *
  * @example
--- a/src/emulator/composeAnswer/index.ts
+++ b/src/emulator/composeAnswer/index.ts
@@ -1,7 +1,7 @@
 /**
- * The answer that the stand-in engine gives to a prompt. It follows from the
- * prompt alone, so whoever asked can check that the answer is whole and is the
- * answer to its own request.
+ * Composes the answer of the emulated model engine to a prompt. It depends on
+ * the prompt alone, so a caller can check that the answer is complete and belongs
+ * to its own request.
  */
 import { hashText } from '../../hashing/index.js'
 
@@ -9,7 +9,7 @@
 
 export type ComposedAnswer = {
   readonly text: string
-  /** The text in the pieces in which it is generated: one a token. */
+  /** The text split into tokens. */
   readonly tokens: readonly string[]
   readonly finishReason: 'stop' | 'length'
 }
@@ -27,15 +27,15 @@
 ]
 
 /**
- * Composes the whole answer to a chat.
+ * Composes the complete answer to a chat.
  *
- * It opens with a hash of all messages and with the beginning of the last one,
- * so that an answer that went to somebody else's request shows. Then come
- * words that follow from that hash, up to a length that follows from it too.
+ * It starts with a hash of all messages and the beginning of the last one, so
+ * that an answer to another request can be recognised. The words that follow and
+ * their number are derived from that hash.
  *
  * @param messages - The chat so far.
- * @param maximumTokens - Where the answer is cut off; no limit by default.
- * @returns The text, its tokens, and whether it ended by itself.
+ * @param maximumTokens - Maximum number of tokens; no limit by default.
+ * @returns The text, its tokens, and whether it ended before the limit.
  *
  * @example
  * composeAnswer([{ role: 'user', content: 'Is there ravioli?' }], 8).tokens.length // => 8
@@ -52,8 +52,8 @@
 }
 
 /**
- * Hashes a chat message by message, each upon the hash of those before it, so
- * that chats with a common beginning have common hashes up to there.
+ * Hashes every prefix of a chat: the hash of each message includes the messages
+ * before it, so chats with a common prefix have the same hashes for it.
  *
  * @param messages - The chat so far.
  * @returns The hash after each message, in order.
--- a/src/emulator/composeAnswer/test.ts
+++ b/src/emulator/composeAnswer/test.ts
@@ -4,19 +4,19 @@
 const chat = (...contents: readonly string[]) => contents.map((content) => ({ role: 'user', content }))
 
 describe('composeAnswer', () => {
-  it('gives the same answer to the same chat', () => {
+  it('composes the same answer to the same chat', () => {
     expect(composeAnswer(chat('a', 'b'))).toEqual(composeAnswer(chat('a', 'b')))
   })
 
-  it.each([[chat('b', 'a')], [chat('a')], [chat('a', 'B')], [[]]])('gives another answer to the chat %j', (messages) => {
+  it.each([[chat('b', 'a')], [chat('a')], [chat('a', 'B')], [[]]])('composes a different answer to the chat %j', (messages) => {
     expect(composeAnswer(messages).text).not.toBe(composeAnswer(chat('a', 'b')).text)
   })
 
-  it('holds the beginning of the last message', () => {
+  it('contains the beginning of the last message', () => {
     expect(composeAnswer(chat('x', 'Is there ravioli?')).text).toContain('"Is there ravioli?"')
   })
 
-  it.each([[1, 'length'], [10, 'length'], [100_000, 'stop']])('with room for %i tokens ends by %s', (room, reason) => {
+  it.each([[1, 'length'], [10, 'length'], [100_000, 'stop']])('with a maximum of %i tokens has the finish reason %s', (room, reason) => {
     const answer = composeAnswer(chat('a'), room)
     expect(answer.finishReason).toBe(reason)
     expect(answer.tokens.join('')).toBe(answer.text)
@@ -25,7 +25,7 @@
 })
 
 describe('hashPrefixes', () => {
-  it('has common hashes up to where chats part', () => {
+  it('returns the same hashes for the common prefix of two chats only', () => {
     const [left, right] = [hashPrefixes(chat('a', 'b', 'c')), hashPrefixes(chat('a', 'b', 'd'))]
     expect([left[1] === right[1], left[2] === right[2]]).toEqual([true, false])
   })
--- a/src/emulator/composeGatewaySettings/index.ts
+++ b/src/emulator/composeGatewaySettings/index.ts
@@ -1,14 +1,14 @@
-/** Settings of a gateway node among stand-ins: the bounds of a small deployment, with ports that the system picks. */
+/** Settings of a gateway node among emulated servers: the limits of a small deployment, with ephemeral ports. */
 import type { GatewaySettings, PeerAddress } from '../../types/index.js'
 
 const ANY_LOOPBACK_PORT: PeerAddress = { host: '127.0.0.1', port: 0 }
 
 /**
- * Composes settings.
+ * Composes the settings of one node.
  *
  * @param nodeId - Name of the node.
- * @param changes - What differs from the defaults; times in milliseconds.
- * @returns Whole settings of one node.
+ * @param changes - Settings that differ from the defaults; times in milliseconds.
+ * @returns The complete settings.
  *
  * @example
  * composeGatewaySettings('node-1', { graceMs: 8000 }).availabilityZone // => 'zone-a'
--- a/src/emulator/countTokens/index.ts
+++ b/src/emulator/countTokens/index.ts
@@ -1,13 +1,13 @@
-/** The stand-in's notion of a token, simple enough for a test to count along. */
+/** Token count of the emulated model engine, simple enough for tests to compute expected values. */
 
 const CHARACTERS_PER_TOKEN = 4
 
 /**
- * Counts the tokens of a text as the stand-in engine does: one for every four
- * characters begun, and none for an empty text.
+ * Counts the tokens of a text as the emulated model engine does: one for every
+ * four characters, rounded up.
  *
  * @param text - Any text.
- * @returns A whole number of tokens.
+ * @returns The number of tokens.
  *
  * @example
  * countTokens('hello') // => 2
--- a/src/emulator/createFaultSwitches/index.ts
+++ b/src/emulator/createFaultSwitches/index.ts
@@ -1,26 +1,26 @@
-/** The switches by which a test turns the faults of a stand-in on and off. */
+/** Switches that turn the faults of an emulated server on and off. */
 import { z } from 'zod'
 
-/** How one fault is set: on until switched off, or for the next `count` times. */
+/** Turns one fault on until it is turned off, or for the next `count` times. */
 export type FaultOrder = {
   readonly fault: string
   readonly on?: boolean | undefined
   readonly count?: number | undefined
-  /** Duration, for faults that delay. */
+  /** Duration in milliseconds, for faults that delay. */
   readonly ms?: number | undefined
-  /** Place in the answer, for faults in the middle of one. */
+  /** Number of pieces of the answer before the fault, for faults in the middle of an answer. */
   readonly after?: number | undefined
 }
 
 export type FaultSetting = { readonly remaining: number, readonly ms: number, readonly after: number }
 
 export type FaultSwitches<Name extends string> = {
-  /** Sets one fault; returns false when there is no such fault. */
+  /** Sets one fault; returns false when the fault is unknown. */
   readonly apply: (order: FaultOrder) => boolean
   readonly clear: () => void
-  /** The setting when the fault is on; it is not used up. */
+  /** The setting when the fault is on; a counted fault is not decremented. */
   readonly peek: (fault: Name) => FaultSetting | undefined
-  /** The setting when the fault is on; a counted fault is used up by one. */
+  /** The setting when the fault is on; a counted fault is decremented. */
   readonly take: (fault: Name) => FaultSetting | undefined
   readonly settings: () => Readonly<Record<string, { readonly remaining: number | 'on', readonly ms: number, readonly after: number }>>
   readonly onChange: (listener: () => void) => void
@@ -38,7 +38,7 @@
 /**
  * Creates the switches of the named faults, all off.
  *
- * @param names - The faults that the stand-in knows.
+ * @param names - The faults of the emulated server.
  * @returns The switches.
  *
  * @example
--- a/src/emulator/createJournal/index.ts
+++ b/src/emulator/createJournal/index.ts
@@ -1,4 +1,4 @@
-/** What a stand-in ran, for tests to compare with what callers were told. */
+/** Journal of the requests that an emulated server ran, which tests compare with the answers that callers got. */
 import type { Clock } from '../../types/index.js'
 
 export type JournalOutcome = 'queued' | 'running' | 'complete' | 'cancelled'
@@ -8,7 +8,7 @@
   readonly idempotencyKey?: string | undefined
   readonly clientAccount: string
   readonly path: string
-  /** Wall-clock milliseconds since 1970 at which the stand-in took the request on. */
+  /** Wall-clock time at which the emulated server accepted the request, in milliseconds since 1970. */
   readonly startedAt: number
   readonly outcome: JournalOutcome
 }
@@ -23,10 +23,10 @@
 const DEFAULT_LIMIT = 200_000
 
 /**
- * Creates an empty journal. A request refused as not run never enters it.
+ * Creates an empty journal. Requests that were refused as not run are not recorded.
  *
- * @param clock - Dates the entries.
- * @param limit - Entries kept; the oldest go first.
+ * @param clock - Timestamps the entries.
+ * @param limit - Maximum number of entries; the oldest are removed first.
  * @returns The journal.
  *
  * @example
--- a/src/emulator/createKnowledgeFleet/_lib/createKnowledgeSource.ts
+++ b/src/emulator/createKnowledgeFleet/_lib/createKnowledgeSource.ts
@@ -1,6 +1,7 @@
 /**
- * The source of a fleet on a manual clock: configuration, backend servers and
- * zone drains, whose newest state is known at every moment, and which nodes reach it.
+ * Emulated source of configuration, backend servers and zone drains for a fleet
+ * on a manual clock. It records which version was the newest at every time, and
+ * can be made unreachable for single nodes.
  */
 import { failure, success } from '../../../kernel/index.js'
 import type {
@@ -8,7 +9,7 @@
 } from '../../../types/index.js'
 
 export type KnowledgeSource = {
-  /** The source as one node meets it. */
+  /** Creates the connections of one node to the source. */
   readonly connect: (node: number) => {
     readonly configurationSource: ConfigurationSource
     readonly instanceSource: InstanceSource
@@ -19,16 +20,17 @@
   readonly removeInstance: (id: string) => void
   readonly beginDrain: (zone: string) => void
   readonly endDrain: (zone: string) => void
-  /** The version that was the newest at a moment of the clock. */
+  /** The version that was the newest at a time of the clock. */
   readonly newestAt: (at: number) => number
   readonly setReached: (node: number, isReached: boolean) => void
   readonly countCalls: () => number
 }
 
-/** Time between two looks of a waiting watch, in milliseconds. */
+/** Poll interval of a waiting watch, in milliseconds. */
 const WATCH_STEP_MS = 10
-/** Time that a call takes, and that one takes to fail at a node which doesn't reach the source. */
+/** Duration of a call, in milliseconds. */
 const SOURCE_DELAY_MS = 4
+/** Time after which a call from a node that cannot reach the source fails, in milliseconds. */
 const UNREACHED_MS = 500
 
 const createConfiguration = (version: number): GatewayConfiguration => ({
@@ -44,7 +46,7 @@
 
 const createRoute = (place: number, version: number): RouteRecord => ({ name: `route-${place}`, host: `${place}.shop.example`, version })
 
-/** Sourced configurations whose unchanged records are the same objects, as a source gives them. */
+/** Creates configurations whose unchanged records are the same objects from one version to the next, as those of a real source are. */
 const createSourcing = (routes: number) => {
   const known = new Map<string, RouteRecord>()
 
@@ -96,7 +98,7 @@
     return failure({ kind: 'unavailable', message: 'cut off' })
   }
 
-  /** A reply shows the source at the middle of its way. */
+  /** A reply contains the state of the source at half of the call duration. */
   const call = async <Value>(node: number, read: () => Value): Promise<Result<Value, SourceError>> => {
     calls += 1
     await wait(clock, SOURCE_DELAY_MS / 2)
@@ -106,7 +108,7 @@
     return success(value)
   }
 
-  /** Waits until something changed after `since`, or for `waitMs`. */
+  /** Waits until a change after revision `since`, or for `waitMs`. */
   const watch = async <Value>(node: number, changes: readonly Change<Value>[], since: number, waitMs: number): Promise<Result<readonly Value[], SourceError>> => {
     const endsAt = clock.now() + waitMs
     calls += 1
--- a/src/emulator/createKnowledgeFleet/index.ts
+++ b/src/emulator/createKnowledgeFleet/index.ts
@@ -1,7 +1,8 @@
 /**
- * Gateway nodes on one manual clock, over a source whose newest version is
- * known at every moment: for what nodes may believe, in interleavings by the
- * hundred. No sockets; peers talk over the memory network.
+ * Runs gateway nodes in one process on one manual clock, with a source that
+ * records which version was the newest at every time. Tests compare the view of
+ * the nodes with it in hundreds of interleavings. There are no sockets; peers
+ * use the network in memory.
  */
 import { createKnowledgeSource, type KnowledgeSource } from './_lib/createKnowledgeSource.js'
 import { composeGatewaySettings } from '../composeGatewaySettings/index.js'
@@ -14,9 +15,9 @@
 export type KnowledgeFleetOptions = {
   readonly nodesPerZone: number
   readonly zones?: number
-  /** A number in [0, 1) per call. */
+  /** Returns a number in [0, 1). */
   readonly random: () => number
-  /** Routes in each configuration, of which the last differs from one version to the next; none by default. */
+  /** Number of routes in each configuration, of which the last one changes with each version; 0 by default. */
   readonly routes?: number
 }
 
@@ -27,9 +28,9 @@
   readonly addressOf: (index: number) => PeerAddress
   readonly start: () => Promise<void>
   readonly stop: () => Promise<void>
-  /** Ends a node at once and starts it anew, with nothing kept. */
+  /** Stops a node and starts a new one at its address, with no state kept. */
   readonly restart: (index: number) => Promise<void>
-  /** What each node sent its peers since the start. */
+  /** Peer transport of each node, which counts what it has sent. */
   readonly transports: readonly MemoryPeerTransport[]
 }
 
@@ -42,7 +43,7 @@
   close: () => undefined
 }
 
-/** Creates the fleet; nothing runs before `start`. */
+/** Creates the fleet; its nodes do not run before `start`. */
 export const createKnowledgeFleet = (options: KnowledgeFleetOptions): KnowledgeFleet => {
   const clock = createManualClock()
   const network = createMemoryPeerNetwork({ clock, delayMs: () => 5 })
--- a/src/emulator/createLaggingLoad/index.ts
+++ b/src/emulator/createLaggingLoad/index.ts
@@ -1,22 +1,23 @@
-/** The load of a stand-in as it was some time ago, which is all that its report gives. */
+/** Emulates a load report that lags: it returns the load as it was some time ago. */
 import type { Clock } from '../../types/index.js'
 
 export type LoadFigures = { readonly running: number, readonly waiting: number }
 
 export type LaggingLoad = {
-  /** Notes the load as of now. */
+  /** Records the current load. */
   readonly record: (figures: LoadFigures) => void
+  /** The load as it was `lagMs` ago. */
   readonly read: () => LoadFigures & { readonly ageMs: number }
 }
 
 type DatedFigures = LoadFigures & { readonly since: number }
 
 /**
- * Creates a report that lags.
+ * Creates a lagging load report.
  *
- * @param clock - Dates the figures.
- * @param lagMs - How far behind the report is, in milliseconds.
- * @returns The report, at zero until figures old enough are there.
+ * @param clock - Timestamps the figures.
+ * @param lagMs - How far the report lags behind the load, in milliseconds.
+ * @returns The report, which is zero until a recorded load is older than the lag.
  *
  * @example
  * createLaggingLoad(clock, 500).read() // => { running: 0, waiting: 0, ageMs: 500 }
--- a/src/emulator/createManualClock/index.ts
+++ b/src/emulator/createManualClock/index.ts
@@ -1,34 +1,34 @@
-/** A clock that moves only when told to, for benches and tests in one process. */
+/** A clock that advances only on request, for benchmarks and tests in one process. */
 import type { Clock } from '../../types/index.js'
 
 export type ManualClock = Clock & {
-  /** Moves time forward and runs the timers that fall due, in their order. */
+  /** Advances the time and runs the timers that become due, in order. */
   readonly advance: (durationMs: number) => void
-  /** The same, and lets promises settle after each timer, for code that awaits between its timers. */
+  /** Like `advance`, but lets promises settle after each timer, for code that awaits between timers. */
   readonly advanceAndSettle: (durationMs: number) => Promise<void>
   /** Runs timers until none is left or `limitMs` has passed; returns the time that passed. */
   readonly runUntilIdle: (limitMs: number) => number
 }
 
 const DEFAULT_WALL_TIME = 1_700_000_000_000
-/** Promise chains that are longer go on after the next timer. */
+/** Rounds of the microtask queue after each timer; a longer promise chain continues after the next timer. */
 const PROMISE_ROUNDS = 8
 
 const settlePromises = async (): Promise<void> => {
   for (let round = 0; round < PROMISE_ROUNDS; round++) await Promise.resolve()
 }
 
-/** `callback` goes when the timer runs or is cancelled. */
+/** `callback` is undefined once the timer has run or is cancelled. */
 type PendingTimer = { readonly dueAt: number, readonly order: number, callback: (() => void) | undefined }
 
 /**
- * Creates a clock that stands still until it is advanced.
+ * Creates a clock whose time changes only when it is advanced.
  *
- * Timers due at the same time run in the order in which they were set, so a
- * run with a seeded random source repeats exactly.
+ * Timers due at the same time run in the order in which they were set, so a run
+ * with a seeded random source is reproducible.
  *
  * @param startAt - Wall-clock time at the start, in milliseconds since 1970.
- * @returns The clock, with `advance` to move it.
+ * @returns The clock.
  *
  * @example
  * const clock = createManualClock()
--- a/src/emulator/createManualClock/test.ts
+++ b/src/emulator/createManualClock/test.ts
@@ -2,7 +2,7 @@
 import { createManualClock } from './index.js'
 
 describe('createManualClock', () => {
-  it('runs timers in order of their time, each once', async () => {
+  it('runs timers in the order of their due times, each once', async () => {
     const clock = createManualClock()
     const ran: string[] = []
     clock.setTimer(7, () => ran.push('late'))
@@ -20,7 +20,7 @@
     expect(ran).toEqual([])
   })
 
-  it('runs a timer that a timer sets within the same advance', async () => {
+  it('runs a timer that was set by another timer of the same advance', async () => {
     const clock = createManualClock()
     const times: number[] = []
     clock.setTimer(2, () => clock.setTimer(0, () => clock.setTimer(3, () => times.push(clock.now()))))
--- a/src/emulator/createMemoryPeerNetwork/index.ts
+++ b/src/emulator/createMemoryPeerNetwork/index.ts
@@ -1,8 +1,8 @@
 /**
- * A network of peer transports inside one process, for tests, the bench and
- * harnesses that host many nodes. Messages are encoded and decoded with
- * `cbor-x` as on TCP, so that nodes share no objects and bytes can be counted;
- * the delay runs on the clock that is handed in.
+ * A network of peer transports inside one process, for tests and benchmarks that
+ * run many nodes. Messages are encoded and decoded with `cbor-x` as on TCP, so
+ * that nodes share no objects and bytes can be counted. Delays are timed by the
+ * given clock.
  */
 import { Encoder } from 'cbor-x'
 import { failure, success } from '../../kernel/index.js'
@@ -12,20 +12,20 @@
   readonly clock: Clock
   /** One-way delay in milliseconds; 1 by default. */
   readonly delayMs?: (from: PeerAddress, to: PeerAddress) => number
-  /** Whether this one message is lost; none by default. */
+  /** Whether a message is lost; none is by default. */
   readonly isLost?: (from: PeerAddress, to: PeerAddress, kind: string) => boolean
 }
 
 export type MemoryPeerTransport = PeerTransport & {
   readonly address: () => PeerAddress
-  /** Bytes sent since the start by message kind, with the 4 bytes of a frame's length. */
+  /** Bytes sent since the start by message kind, including the 4-byte length prefix of each frame. */
   readonly bytesSent: () => ReadonlyMap<string, number>
   readonly messagesSent: () => number
 }
 
 export type MemoryPeerNetwork = {
   readonly createTransport: (address: PeerAddress) => MemoryPeerTransport
-  /** Drops what goes either way between two addresses, also what is under way. */
+  /** Drops all messages between two addresses in both directions, including those in transit. */
   readonly cut: (one: PeerAddress, other: PeerAddress) => void
   readonly heal: (one: PeerAddress, other: PeerAddress) => void
   readonly healAll: () => void
@@ -46,10 +46,10 @@
 const pairOf = (from: PeerAddress, to: PeerAddress): string => `${nameOf(from)}>${nameOf(to)}`
 
 /**
- * Creates an empty network; each node gets a transport at its own address.
+ * Creates a network without nodes.
  *
- * @param options - The clock, the one-way delay in milliseconds and the loss.
- * @returns The network, with links that can be cut and healed.
+ * @param options - The clock, the one-way delay in milliseconds and the message loss.
+ * @returns The network, which creates a transport for each address and can cut and heal links.
  *
  * @example
  * const network = createMemoryPeerNetwork({ clock })
--- a/src/emulator/createMemoryPlatform/index.ts
+++ b/src/emulator/createMemoryPlatform/index.ts
@@ -1,19 +1,19 @@
 /**
- * A versioned object store in memory that stands in for the platform: the
- * conditions, revisions and watches of the real one, without its network.
+ * Emulates the platform as a versioned object store in memory, with conditional
+ * writes, revisions and watches but without a network.
  */
 import { failure, success } from '../../kernel/index.js'
 import type { Clock, ObjectChange, ObjectList, Platform, PlatformError, PlatformObject, Result, Vm, WatchEvents } from '../../types/index.js'
 
 export type MemoryPlatformOptions = {
-  /** Changes that a watch can look back on; older revisions are gone. */
+  /** Number of changes kept for watches; a watch on an older revision fails with `revisionGone`. */
   readonly historyLimit?: number
   readonly maximumObjectBytes?: number
 }
 
 export type MemoryPlatform = Platform & {
   readonly setVms: (vms: readonly Vm[]) => void
-  /** Revision of the whole store: the number of writes so far. */
+  /** Revision of the store: the number of writes so far. */
   readonly revision: () => number
 }
 
@@ -28,13 +28,13 @@
 /**
  * Creates an empty store.
  *
- * Nothing in it depends on anything but its calls and the clock, so runs
- * repeat exactly. A version is the revision at which the object was written.
- * The bytes handed in and out are copies.
+ * Its results depend only on the calls and the clock, so runs are reproducible.
+ * The version of an object is the revision at which it was written. Bytes passed
+ * in and returned are copies.
  *
- * @param clock - Ends the waiting of watches.
- * @param options - Bounds of the history, in changes, and of one object, in bytes.
- * @returns A `Platform`, with the VM list settable.
+ * @param clock - Times out watches.
+ * @param options - Limits of the history, in changes, and of one object, in bytes.
+ * @returns A `Platform` whose VM list can be set.
  *
  * @example
  * const platform = createMemoryPlatform(createManualClock())
@@ -107,8 +107,8 @@
       return success(buildList(names, limit, objects, revision))
     },
     watchObjects: async (prefix, after, timeoutMs) => {
-      // A revision from the future comes from a store that was replaced: a
-      // watch on it would wait for ever and miss every change until then.
+      // A revision beyond the current one comes from a store that has been
+      // replaced. A watch on it would wait for ever and miss all changes up to it.
       if (after < forgottenRevision || after > revision) return failure({ kind: 'revisionGone' })
       const missed = changesAfter(prefix, after)
       if (missed.length > 0) return success({ revision, changes: missed })
--- a/src/emulator/createModelEngine/_lib/createJob.ts
+++ b/src/emulator/createModelEngine/_lib/createJob.ts
@@ -1,4 +1,4 @@
-/** One request in the engine: its tokens so far, who listens, and how long it is kept. */
+/** One request of the emulated engine: the tokens generated so far, its listeners and its grace period. */
 import type { Clock, RequestPriority, Timer } from '../../../types/index.js'
 import type { ChatMessage, ComposedAnswer } from '../../composeAnswer/index.js'
 import type { JournalRecord } from '../../createJournal/index.js'
@@ -17,7 +17,7 @@
 
 export type JobOutcome = 'complete' | 'cancelled'
 
-/** Called whenever tokens were added, and once when the job ended. */
+/** Called after each generated token, and once when the job has ended. */
 export type JobListener = () => void
 
 export type EngineJob = {
@@ -26,9 +26,9 @@
   /** Tokens generated so far. */
   readonly emitted: () => number
   readonly outcome: () => JobOutcome | undefined
-  /** Known once the prefill has begun. */
+  /** Zero until the prefill has begun. */
   readonly usage: () => JobUsage
-  /** Listens until the returned function is called; a job that nobody listens to ends after its grace period. */
+  /** Adds a listener and returns a function that removes it; a job that has lost its last listener is cancelled after its grace period. */
   readonly listen: (listener: JobListener) => () => void
   readonly cancel: () => void
 }
@@ -45,16 +45,16 @@
   readonly record: JournalRecord
   readonly graceMs: number
   readonly cancel: () => void
-  /** Lets the engine drop the job, after which it cannot be resumed. */
+  /** Removes the job from the engine; it cannot be resumed any more. */
   readonly forget: () => void
 }
 
 /**
- * Creates a job that waits for its slot.
+ * Creates a job that waits for a slot.
  *
- * @param clock - Runs the grace period.
- * @param request - What was asked.
- * @param dependencies - The answer to generate, and the engine's side of the job.
+ * @param clock - Times the grace period.
+ * @param request - The request.
+ * @param dependencies - The answer to generate, the journal record, and the engine's callbacks.
  * @returns The job.
  *
  * @example
--- a/src/emulator/createModelEngine/_lib/createPrefixCache.ts
+++ b/src/emulator/createModelEngine/_lib/createPrefixCache.ts
@@ -1,24 +1,25 @@
-/** The engine's KV cache: prefixes of chats, bounded in tokens, least recently used out first. */
+/** The KV cache of the emulated engine: an LRU cache of chat prefixes, bounded in tokens. */
 import { LRUCache } from 'lru-cache'
 import { hashPrefixes, type ChatMessage } from '../../composeAnswer/index.js'
 import { countTokens } from '../../countTokens/index.js'
 
 export type PrefixCache = {
-  /** Tokens of the longest cached beginning of the chat, which counts as used now. */
+  /** Returns the tokens of the longest cached prefix of the chat and marks it as recently used. */
   readonly use: (messages: readonly ChatMessage[]) => number
-  /** Keeps every beginning of the chat. */
+  /** Caches every prefix of the chat. */
   readonly store: (messages: readonly ChatMessage[]) => void
+  /** Tokens in the cache. */
   readonly tokens: () => number
 }
 
 /**
  * Creates an empty cache.
  *
- * Each message is one entry, keyed by the hash of the chat up to it. A chat's
- * entries are touched from its last to its first, so that the end of a chat
- * leaves the cache before the beginning that others may share.
+ * Each message is one entry, keyed by the hash of the chat up to and including
+ * it. The entries of a chat are touched from the last to the first, so that the
+ * end of a chat is evicted before its beginning, which other chats may share.
  *
- * @param maximumTokens - Room for so many tokens.
+ * @param maximumTokens - Size of the cache, in tokens.
  * @returns The cache.
  *
  * @example
--- a/src/emulator/createModelEngine/index.ts
+++ b/src/emulator/createModelEngine/index.ts
@@ -1,7 +1,8 @@
 /**
- * The core of the model engine stand-in: continuous batching in finite slots,
- * a queue by priority, prefill and decode time, and a prefix cache. Time comes
- * in with the clock, so a bench can run many engines on a manual one.
+ * Emulates a model engine without HTTP: continuous batching in a limited number
+ * of slots, a queue by priority, prefill and decode times, and a prefix cache.
+ * All times come from the given clock, so a benchmark can run many engines on a
+ * manual clock.
  */
 import { failure, success } from '../../kernel/index.js'
 import type { Clock, LoadReport, Result } from '../../types/index.js'
@@ -15,18 +16,20 @@
 export type { EngineJob, EngineRequest, JobListener, JobUsage } from './_lib/createJob.js'
 
 export type ModelEngineOptions = {
-  /** Requests in the batch at once. */
+  /** Maximum number of requests in the batch. */
   readonly slots: number
-  /** Requests that may wait for a slot; one more is refused as overloaded. */
+  /** Maximum number of requests that wait for a slot; further ones are refused as overloaded. */
   readonly maximumWaiting: number
   readonly prefillTokensPerSecond: number
   /** Time between two tokens of a request that is alone in the batch, in milliseconds. */
   readonly decodeIntervalMs: number
-  /** What each further request in the batch adds to it, in milliseconds. */
+  /** Increase of that time for each further request in the batch, in milliseconds. */
   readonly decodeIntervalPerRequestMs: number
+  /** Size of the prefix cache, in tokens. */
   readonly cacheTokens: number
+  /** How far the load report lags behind the load, in milliseconds. */
   readonly loadLagMs: number
-  /** How long a stream that nobody reads is kept for a resume, in milliseconds. */
+  /** How long a stream without a reader can still be resumed, in milliseconds. */
   readonly graceMs: number
 }
 
@@ -34,12 +37,12 @@
 
 export type ModelEngine = {
   readonly submit: (request: EngineRequest) => Result<EngineJob, EngineRefusal>
-  /** The latest job of a request, while it runs or is kept. */
+  /** The latest job of a request, while it runs or can still be resumed. */
   readonly find: (requestId: string) => EngineJob | undefined
   readonly report: () => LoadReport
   readonly setLeaving: (leaving: boolean) => void
   readonly journal: Journal
-  /** Requests in the batch and waiting now, without the report's lag. */
+  /** Requests in the batch and waiting at this moment, without the lag of `report`. */
   readonly load: () => { readonly running: number, readonly waiting: number }
   readonly cachedTokens: () => number
 }
@@ -60,12 +63,12 @@
 /**
  * Creates an idle engine.
  *
- * A step of the batch gives each request in it one token; the more requests,
- * the longer the step. Prefills run one after another, at a cost in proportion
- * to the prompt tokens that the cache does not hold. Interactive requests get
- * a free slot before overnight ones.
+ * Each decode step generates one token for every decoding request of the batch
+ * and takes longer the more of them there are. Prefills run one after another;
+ * a prefill takes time in proportion to the prompt tokens that are not cached.
+ * Interactive requests get a free slot before overnight ones.
  *
- * @param clock - Drives prefills, steps and grace periods.
+ * @param clock - Times prefills, decode steps and grace periods.
  * @param options - Sizes and rates; see `DEFAULT_MODEL_ENGINE_OPTIONS`.
  * @returns The engine.
  *
--- a/src/emulator/createModelEngine/test.ts
+++ b/src/emulator/createModelEngine/test.ts
@@ -25,7 +25,7 @@
 }
 
 describe('createModelEngine', () => {
-  it('generates the whole composed answer, token by token', () => {
+  it('generates the complete composed answer, token by token', () => {
     const { clock, submit } = startEngine()
     const request = buildRequest('a')
     const job = submit(request)
@@ -36,7 +36,7 @@
     expect(job.answer).toEqual(composeAnswer(request.messages, 4))
   })
 
-  it('takes longer a token the more requests share the batch', () => {
+  it('takes longer per token the more requests share the batch', () => {
     const timeToFinish = (count: number): number => {
       const { clock, submit } = startEngine({ prefillTokensPerSecond: Infinity })
       let finishedAt = 0
@@ -44,11 +44,11 @@
       clock.runUntilIdle(10_000)
       return finishedAt
     }
-    // One step of 10 ms for the first alone, three of 20 ms for all, one of 15 ms for the last two.
+    // One step of 10 ms with the first request alone, three of 20 ms with all three, one of 15 ms with the last two.
     expect([timeToFinish(1), timeToFinish(3)]).toEqual([40, 85])
   })
 
-  it('queues beyond its slots, interactive work before overnight work', () => {
+  it('queues requests beyond its slots, and runs interactive ones before overnight ones', () => {
     const { clock, engine, submit } = startEngine({ slots: 1 })
     const order: string[] = []
     const track = (requestId: string, priority: EngineRequest['priority']): void => {
@@ -63,7 +63,7 @@
     expect(order).toEqual(['first', 'day', 'night'])
   })
 
-  it('finds the earlier turns of a chat in its cache', () => {
+  it('reuses the cached prefix of the earlier turns of a chat', () => {
     const { clock, submit } = startEngine()
     const first = buildRequest('a', { messages: [{ role: 'user', content: 'x'.repeat(400) }] })
     const answer = submit(first).answer.text
@@ -72,7 +72,7 @@
     expect(second.usage()).toEqual({ promptTokens: 100 + Math.ceil(answer.length / 4) + 1, cachedTokens: 100 + Math.ceil(answer.length / 4) })
   })
 
-  it('forgets the chat used least lately when the cache is full', () => {
+  it('evicts the least recently used chat when the cache is full', () => {
     const { clock, submit } = startEngine({ cacheTokens: 250 })
     const ask = (name: string): number => {
       const job = submit(buildRequest(name, { messages: [{ role: 'user', content: name.repeat(400) }], maximumTokens: 1 }))
@@ -85,14 +85,14 @@
   it.each([
     ['leaving', (engine: ReturnType<typeof startEngine>['engine']) => engine.setLeaving(true)],
     ['overloaded', (engine: ReturnType<typeof startEngine>['engine']) => { engine.submit(buildRequest('x')); engine.submit(buildRequest('y')) }]
-  ])('refuses when %s, and leaves what it refused out of the journal', (reason, prepare) => {
+  ])('refuses a request when %s, and does not record it in the journal', (reason, prepare) => {
     const { engine } = startEngine({ slots: 1, maximumWaiting: 1 })
     prepare(engine)
     expect(engine.submit(buildRequest('refused'))).toEqual({ ok: false, error: { reason } })
     expect(engine.journal.entries().map(({ requestId }) => requestId)).not.toContain('refused')
   })
 
-  it('reports its load late, but at once that it is leaving', () => {
+  it('reports its load with a lag, but reports immediately that it is leaving', () => {
     const { clock, engine, submit } = startEngine({ loadLagMs: 1000 })
     submit(buildRequest('a', { maximumTokens: 1000 }))
     engine.setLeaving(true)
@@ -101,8 +101,8 @@
     expect(engine.report()).toMatchObject({ running: 1, leaving: true })
   })
 
-  // An engine would work for ever for a router that never comes back.
-  it('cancels and forgets a job that nobody listens to any more after the grace period', () => {
+  // Without a grace period the engine would go on generating for a router that has crashed.
+  it('cancels and drops a job that has had no listener for the grace period', () => {
     const { clock, engine, submit } = startEngine({ graceMs: 15 })
     const job = submit(buildRequest('a', { maximumTokens: 100 }))
     job.listen(() => {})()
@@ -112,7 +112,7 @@
     expect([job.outcome(), engine.find('a'), engine.load().running]).toEqual(['cancelled', undefined, 0])
   })
 
-  it('gives a cancelled job\'s slot to the next', () => {
+  it('gives the slot of a cancelled job to the next job in the queue', () => {
     const { engine, submit } = startEngine({ slots: 1 })
     const first = submit(buildRequest('a'))
     submit(buildRequest('b'))
--- a/src/emulator/createModelEngineServer/_lib/completionSchema.ts
+++ b/src/emulator/createModelEngineServer/_lib/completionSchema.ts
@@ -1,4 +1,4 @@
-/** The part of an OpenAI chat completion request that the stand-in reads. */
+/** Schema of the fields of an OpenAI chat completion request that the emulator reads. */
 import { z } from 'zod'
 import type { ChatMessage } from '../../composeAnswer/index.js'
 
@@ -16,9 +16,9 @@
 export type Completion = z.infer<typeof completionSchema>
 
 /**
- * Gives the messages as texts. Content in parts is taken as its JSON text.
+ * Reads the messages as texts. Content that is not a string is taken as its JSON text.
  *
- * @param completion - A checked request.
+ * @param completion - A parsed request.
  * @returns The messages.
  *
  * @example
--- a/src/emulator/createModelEngineServer/_lib/formatAnswer.ts
+++ b/src/emulator/createModelEngineServer/_lib/formatAnswer.ts
@@ -1,8 +1,8 @@
-/** A job's answer in the OpenAI form: as one object, or as numbered events. */
+/** Formats the answer of a job as the OpenAI API does: as one JSON object, or as numbered server-sent events. */
 import type { EngineJob } from '../../createModelEngine/index.js'
 
 export type AnswerFormat = {
-  /** Identifier that the answer carries; the request's own unless answers are crossed. */
+  /** Request identifier in the answer; differs from that of the request only with the fault `crossedAnswer`. */
   readonly requestId: string
   readonly model: string
   readonly includeUsage: boolean
@@ -24,10 +24,10 @@
 const completionId = (requestId: string): string => `chatcmpl-${requestId}`
 
 /**
- * Formats a complete job as a whole answer.
+ * Formats a complete job as one JSON object.
  *
  * @param job - A complete job.
- * @param format - What the answer names.
+ * @param format - Request identifier and model that the answer states.
  * @returns The JSON text.
  *
  * @example
@@ -43,26 +43,26 @@
 })
 
 /**
- * Counts the events of a complete stream, its end marker included.
+ * Counts the events of a complete stream, including its end marker.
  *
  * @param job - The job.
- * @param format - Whether there is an event with the usage.
- * @returns A whole number.
+ * @param format - Whether the stream has an event with the usage.
+ * @returns The number of events.
  *
  * @example
- * countEvents(job, format) // => one a token, then finish, usage and end marker
+ * countEvents(job, format) // => one per token, then finish, usage and end marker
  */
 export const countEvents = (job: EngineJob, { includeUsage }: AnswerFormat): number =>
   job.answer.tokens.length + (includeUsage ? 3 : 2)
 
 /**
- * Formats one event of a stream. It follows from the job alone, so a resumed
- * stream repeats the very bytes of the first.
+ * Formats one event of a stream. The result depends on the job alone, so a
+ * resumed stream repeats the same bytes.
  *
  * @param job - The job.
- * @param format - What the answer names.
- * @param number - Which event, from 1.
- * @returns The event in the text form of server-sent events.
+ * @param format - Request identifier and model that the event states.
+ * @param number - Number of the event, from 1.
+ * @returns The text of a server-sent event.
  *
  * @example
  * formatEvent(job, format, 1) // => 'id: 1\ndata: {...}\n\n'
--- a/src/emulator/createModelEngineServer/index.ts
+++ b/src/emulator/createModelEngineServer/index.ts
@@ -1,4 +1,4 @@
-/** The HTTP form of the model engine stand-in: chat completions, streams that resume, load, faults. */
+/** HTTP server of the emulated model engine: chat completions, resumable streams, load report and faults. */
 import type { FastifyReply, FastifyRequest } from 'fastify'
 import type { Clock } from '../../types/index.js'
 import { createAnswerWriter, writeWhole, type AnswerWriter } from '../_lib/createAnswerWriter.js'
@@ -25,7 +25,7 @@
 const MAXIMUM_KEPT_FORMATS = 100_000
 
 /**
- * Starts a model engine stand-in.
+ * Starts an emulated model engine.
  *
  * @param options - Clock, address, and the sizes and rates of the engine.
  * @returns The listening server, its engine, and its faults.
@@ -92,7 +92,7 @@
   includeUsage: completion.stream_options?.include_usage === true
 })
 
-/** With crossed answers on, the job's answer is replaced by one to a request that nobody made. */
+/** With the fault `crossedAnswer` on, replaces the answer by one that belongs to another request. */
 const crossWhenAsked = (faults: BackendFaults, stream: KeptStream): KeptStream => {
   if (faults.take('crossedAnswer') === undefined) return stream
   const requestId = `${stream.format.requestId}-crossed`
@@ -112,7 +112,7 @@
     if (job.outcome() === 'cancelled') reply.raw.socket?.destroy()
     else writeWhole(writer, 200, { 'content-type': 'application/json', 'x-request-id': format.requestId }, formatWhole(job, format))
   })
-  // A whole answer cannot be resumed, so a caller that hung up needs no more of it.
+  // An answer that is not streamed cannot be resumed, so a closed connection cancels its job.
   reply.raw.on('close', () => {
     if (!reply.raw.writableFinished) job.cancel()
   })
--- a/src/emulator/createModelEngineServer/test.ts
+++ b/src/emulator/createModelEngineServer/test.ts
@@ -42,7 +42,7 @@
   [...text.matchAll(/^data: (\{.*)$/gm)].map(([, data]) => JSON.parse(data!).choices[0]?.delta?.content ?? '').join('')
 
 describe('createModelEngineServer', () => {
-  it('gives a whole answer with usage and the request id', async () => {
+  it('sends an answer that is not streamed, with usage and the request id', async () => {
     const response = await ask(await startServer())
     const body = await response.json() as { readonly choices: unknown, readonly usage: unknown }
     expect(response.headers.get('x-request-id')).toBe('r1')
@@ -57,15 +57,15 @@
     expect(text).toContain('"cached_tokens":0')
   })
 
-  it('keeps a journal of what ran', async () => {
+  it('records the requests that ran in a journal', async () => {
     const server = await startServer()
     await (await ask(server)).text()
     const journal = await (await fetch(`${server.controlUrl}/journal`)).json()
     expect(journal).toMatchObject({ entries: [{ requestId: 'r1', idempotencyKey: 'k1', clientAccount: 'kiosk', path: '/v1/chat/completions', outcome: 'complete' }] })
   })
 
-  // A caller would miss an event, or get it twice, after a break in mid-answer.
-  it('resumes a stream after the last event that was seen', async () => {
+  // After a connection that broke during an answer, a caller would miss an event or get one twice.
+  it('resumes a stream after the last event that the caller received', async () => {
     const server = await startServer()
     server.faults.apply({ fault: 'cutAnswer', count: 1, after: 3 })
     const first = await readUntilBroken(await ask(server, { stream: true }))
@@ -74,7 +74,7 @@
     expect(readContent(first.text + rest.text)).toBe(composeAnswer(messages, ROOM).text)
   })
 
-  it('cancels a stream at once', async () => {
+  it('cancels a stream immediately', async () => {
     const server = await startServer({ decodeIntervalMs: 50 })
     const reading = ask(server, { stream: true, max_tokens: 200 }).then(readUntilBroken)
     await expect.poll(() => server.engine.find('r1')?.emitted() ?? 0).toBeGreaterThan(0)
@@ -83,7 +83,7 @@
     expect(server.engine.journal.entries()[0]?.outcome).toBe('cancelled')
   })
 
-  it('cancels a whole answer whose caller hung up', async () => {
+  it('cancels an answer that is not streamed when the caller closes the connection', async () => {
     const server = await startServer({ decodeIntervalMs: 50 })
     const controller = new AbortController()
     const asking = fetch(`${server.url}/v1/chat/completions`, { method: 'POST', signal: controller.signal, headers: { 'content-type': 'application/json' }, body: JSON.stringify({ model: 'm', messages, max_tokens: 200 }) })
@@ -93,7 +93,7 @@
     await expect.poll(() => server.engine.journal.entries()[0]?.outcome).toBe('cancelled')
   })
 
-  it.each(['leaving', 'overloaded'])('refuses as not run when %s, and echoes the id', async (fault) => {
+  it.each(['leaving', 'overloaded'])('refuses with x-not-run when %s, and returns the request id', async (fault) => {
     const server = await startServer()
     server.faults.apply({ fault })
     const response = await ask(server)
@@ -122,7 +122,7 @@
     ['truncateAnswer', { after: 2 }, { ids: [1, 2], broken: false, ended: false }],
     ['duplicateEvent', { after: 2 }, { ids: [1, 2, 3, 3, 4, 5, 6, 7, 8], broken: false, ended: true }],
     ['lateAnswer', { after: 0 }, { ids: [1, 2, 3, 4, 5, 6, 7, 8], broken: false, ended: true }]
-  ])('spoils one stream by %s', async (fault, { after }, expected) => {
+  ])('applies the fault %s to one stream only', async (fault, { after }, expected) => {
     const server = await startServer()
     server.faults.apply({ fault, count: 1, after, ms: 50 })
     const { text, broken } = await readUntilBroken(await ask(server, { stream: true }))
@@ -130,20 +130,20 @@
     expect(eventIds((await readUntilBroken(await ask(server, { stream: true }))).text)).toHaveLength(8)
   })
 
-  it.each<[string, number, boolean]>([['cutAnswer', 2, true], ['truncateAnswer', 2, false]])('ends a whole answer early by %s', async (fault, after, expectedBroken) => {
+  it.each<[string, number, boolean]>([['cutAnswer', 2, true], ['truncateAnswer', 2, false]])('ends an answer that is not streamed early with the fault %s', async (fault, after, expectedBroken) => {
     const server = await startServer()
     server.faults.apply({ fault, count: 1, after })
     const { text, broken } = await readUntilBroken(await ask(server))
     expect([broken, text.length]).toEqual([expectedBroken, 32])
   })
 
-  it('cuts without any byte when the place is 0', async () => {
+  it('closes the connection before the first byte when cutAnswer has after 0', async () => {
     const server = await startServer()
     server.faults.apply({ fault: 'cutAnswer', count: 1 })
     await expect(ask(server, { stream: true })).rejects.toThrow()
   })
 
-  it('sends no more after it froze, and stays connected', async () => {
+  it('sends nothing more after freezeAnswer, and leaves the connection open', async () => {
     const server = await startServer()
     server.faults.apply({ fault: 'freezeAnswer', count: 1, after: 1 })
     const reader = (await ask(server, { stream: true })).body!.getReader()
@@ -154,14 +154,14 @@
     await reader.cancel()
   })
 
-  it('resets after it read the request, which runs', async () => {
+  it('resets the connection after it has read the request, and runs the request', async () => {
     const server = await startServer()
     server.faults.apply({ fault: 'resetAfterRead', count: 1 })
     await expect(ask(server)).rejects.toThrow()
     expect(server.engine.journal.entries()).toHaveLength(1)
   })
 
-  it.each([[false], [true]])('answers somebody else\'s request, streamed: %s', async (stream) => {
+  it.each([[false], [true]])('sends the answer to another request, streamed: %s', async (stream) => {
     const server = await startServer()
     server.faults.apply({ fault: 'crossedAnswer', count: 1 })
     const response = await ask(server, { stream })
@@ -169,7 +169,7 @@
     expect(await response.text()).not.toContain('ravioli')
   })
 
-  it('refuses connections, and takes them again when told so at its control port', async () => {
+  it('refuses connections, and accepts them again after a request to its control port', async () => {
     const server = await startServer()
     const post = (body: unknown) => fetch(`${server.controlUrl}/faults`, { method: 'POST', headers: { 'content-type': 'application/json' }, body: whole(body) })
     await post({ fault: 'refuseConnections', on: true })
@@ -179,7 +179,7 @@
     expect(server.engine.journal.entries()).toHaveLength(1)
   })
 
-  it('leaves a load probe without an answer', async () => {
+  it('does not answer a load probe', async () => {
     const server = await startServer()
     server.faults.apply({ fault: 'unresponsiveLoad' })
     await expect(fetch(`${server.url}/load`, { signal: AbortSignal.timeout(50) })).rejects.toThrow()
--- a/src/emulator/createPlainServiceServer/index.ts
+++ b/src/emulator/createPlainServiceServer/index.ts
@@ -1,4 +1,4 @@
-/** The stand-in of a plain service: it records orders and looks up stock. */
+/** Emulated backend server of a plain service: records orders and looks up stock. */
 import type { FastifyReply, FastifyRequest } from 'fastify'
 import { hashText } from '../../hashing/index.js'
 import type { Clock } from '../../types/index.js'
@@ -11,10 +11,11 @@
 
 export type PlainServiceServerOptions = ListenAddress & {
   readonly clock: Clock
-  /** Time that each call takes, in milliseconds; 5 by default. */
+  /** Time to answer a request, in milliseconds; 5 by default. */
   readonly delayMs?: number | undefined
-  /** Calls at once; further ones are refused as overloaded; 256 by default. */
+  /** Maximum number of concurrent requests; further ones are refused as overloaded; 256 by default. */
   readonly slots?: number | undefined
+  /** How far the load report lags behind the load, in milliseconds; 250 by default. */
   readonly loadLagMs?: number | undefined
 }
 
@@ -31,7 +32,7 @@
 const LARGEST_STOCK = 500
 
 /**
- * Gives the answer of a stock lookup, which follows from its path alone.
+ * Returns the answer to a stock lookup, which depends on the path alone.
  *
  * @param path - Path with query.
  * @returns The body of the answer.
@@ -43,11 +44,12 @@
   ({ path, quantity: hashText(path) % LARGEST_STOCK })
 
 /**
- * Starts a plain service stand-in.
+ * Starts an emulated backend server of a plain service.
  *
- * `GET` on any path is a lookup; `POST` and `PUT` on any path record an order
- * each time they run, whatever their idempotency key: a request that ran twice
- * is two entries of the journal. An answer to an order holds the body that came.
+ * `GET` on any path is a lookup. `POST` and `PUT` on any path record an order
+ * each time they run, whatever their idempotency key, so a request that ran
+ * twice has two entries in the journal. The answer to an order contains the body
+ * that was received.
  *
  * @param options - Clock, address, delay and slots.
  * @returns The listening server, its journal and its faults.
@@ -108,7 +110,7 @@
   return { ...await frame.listen(options), faults, journal }
 }
 
-// An order's body is recorded as it came; only the control route reads JSON.
+// The body of an order is recorded unparsed; only the control route reads JSON.
 const parseBody = (request: FastifyRequest, body: string): unknown => {
   if (request.url !== '/faults') return body
   try {
--- a/src/emulator/createPlainServiceServer/test.ts
+++ b/src/emulator/createPlainServiceServer/test.ts
@@ -18,12 +18,12 @@
   fetch(`${server.url}/orders/new`, { method: 'POST', headers: { 'x-request-id': requestId, 'idempotency-key': 'k1' }, body: '{"pasta":3}' })
 
 describe('createPlainServiceServer', () => {
-  it('looks up the same stock for the same path', async () => {
+  it('returns the same stock for the same path', async () => {
     const server = await startServer()
     expect(await (await fetch(`${server.url}/stock/ravioli?village=1`)).json()).toEqual(lookUpStock('/stock/ravioli?village=1'))
   })
 
-  it('records an order and answers with what came', async () => {
+  it('records an order and returns the body that it received', async () => {
     const server = await startServer()
     const response = await placeOrder(server)
     expect([response.status, response.headers.get('x-request-id')]).toEqual([201, 'r1'])
@@ -31,14 +31,14 @@
     expect(server.journal.entries()).toMatchObject([{ requestId: 'r1', idempotencyKey: 'k1', path: '/orders/new', outcome: 'complete' }])
   })
 
-  it('runs an order twice when it comes twice', async () => {
+  it('runs an order twice when it receives it twice', async () => {
     const server = await startServer()
     await placeOrder(server)
     await placeOrder(server, 'r2')
     expect(server.journal.entries()).toHaveLength(2)
   })
 
-  it('refuses as not run beyond its slots', async () => {
+  it('refuses a request beyond its slots with x-not-run', async () => {
     const server = await startServer({ slots: 1, delayMs: 1000 })
     const first = placeOrder(server)
     await expect.poll(() => server.journal.entries().length).toBe(1)
@@ -47,14 +47,14 @@
     await first
   })
 
-  it('runs an order whose connection it then resets', async () => {
+  it('runs an order before the fault resetAfterRead resets its connection', async () => {
     const server = await startServer()
     server.faults.apply({ fault: 'resetAfterRead', count: 1 })
     await expect(placeOrder(server)).rejects.toThrow()
     expect(server.journal.entries()).toMatchObject([{ requestId: 'r1', outcome: 'complete' }])
   })
 
-  it.each([['cutAnswer', true], ['truncateAnswer', false]])('ends its answer early by %s', async (fault, isBroken) => {
+  it.each([['cutAnswer', true], ['truncateAnswer', false]])('ends its answer early with the fault %s', async (fault, isBroken) => {
     const server = await startServer()
     server.faults.apply({ fault, count: 1, after: 1 })
     const reading = (await placeOrder(server)).text()
--- a/src/emulator/createPlatformServer/_lib/createLaggingVmList.ts
+++ b/src/emulator/createPlatformServer/_lib/createLaggingVmList.ts
@@ -1,4 +1,4 @@
-/** A VM list that can be read as it was some time ago. */
+/** Emulates a VM list that lags: it can be read as it was some time ago. */
 import type { Clock, Vm } from '../../../types/index.js'
 
 export type LaggingVmList = {
@@ -12,10 +12,10 @@
 const MAXIMUM_LISTS = 1000
 
 /**
- * Creates a VM list with its past.
+ * Creates a VM list that records its earlier states.
  *
- * @param clock - Dates the lists.
- * @param initial - The list at the start, taken as having held always.
+ * @param clock - Timestamps the lists.
+ * @param initial - The list at the start, also returned for any earlier time.
  * @returns The list.
  *
  * @example
--- a/src/emulator/createPlatformServer/index.ts
+++ b/src/emulator/createPlatformServer/index.ts
@@ -1,4 +1,4 @@
-/** The platform's HTTP contract over a memory platform, with faults to switch on. */
+/** Emulated platform: the HTTP interface of the platform on a store in memory, with faults that tests can turn on. */
 import fastify, { type FastifyInstance, type FastifyReply, type FastifyRequest } from 'fastify'
 import { z } from 'zod'
 import type { Clock, PlatformError, Result, Vm } from '../../types/index.js'
@@ -39,15 +39,15 @@
 const vmsSchema = z.array(z.object({ name: z.string(), kind: z.enum(['router', 'backendServer']), address: z.string(), availabilityZone: z.string(), state: z.enum(['live', 'leaving']) }))
 
 /**
- * Starts a platform stand-in.
+ * Starts an emulated platform.
  *
- * The faults are switched at `/faults`: `outage` answers 503 without acting,
- * `hang` never answers, `slow` waits `ms` first, `loseReplies` lets a write
- * take effect and drops the connection instead of answering, and `vmLag` shows
- * the VM list as it was `ms` ago. `GET /calls` counts the calls by kind, and
- * `PUT /vms` sets the VM list.
+ * Faults are turned on and off at `/faults`: `outage` answers 503 without
+ * running the request, `hang` never answers, `slow` waits `ms` first,
+ * `loseReplies` runs a write and closes the connection instead of answering, and
+ * `vmLag` returns the VM list as it was `ms` ago. `GET /calls` returns the number
+ * of requests by method and path, and `PUT /vms` sets the VM list.
  *
- * @param options - Clock, address, and what the store holds at the start.
+ * @param options - Clock, address, and the initial store and VM list.
  * @returns The listening server.
  *
  * @example
@@ -89,7 +89,7 @@
   return { ...listening, platform, faults, calls, setVms: vms.set }
 }
 
-// Objects keep their bytes as they came; only the control routes read JSON.
+// Objects are stored as the bytes received; only the control routes read JSON.
 const parseBody = (request: FastifyRequest, body: Buffer, done: (error: Error | null, value?: unknown) => void): void => {
   if (request.url.startsWith('/objects/')) return done(null, body)
   try {
