--- a/src/load/createLoadRecorder/index.ts
+++ b/src/load/createLoadRecorder/index.ts
@@ -1,10 +1,10 @@
-/** Adds up what came of the requests of a load. */
+/** Records the outcomes and latencies of the requests of a load run, and summarises them. */
 import { build, type Histogram } from 'hdr-histogram-js'
 import { countTokens } from '../../emulator/countTokens/index.js'
 import type { PlannedRequest, RequestKind } from '../planLoad/index.js'
 import type { LoadOutcome, SentRequest } from '../sendPlannedRequest/index.js'
 
-/** Milliseconds at quantiles; `count` tells of how many measurements. */
+/** Percentiles of a latency in milliseconds; `count` is the number of samples. */
 export type LatencySummary = {
   readonly count: number
   readonly mean: number
@@ -18,7 +18,7 @@
 
 export type LoadSummary = {
   readonly sent: number
-  /** Not sent because too many requests were open. */
+  /** Requests not sent because too many requests were open. */
   readonly skipped: number
   readonly durationMs: number
   readonly requestsPerSecond: number
@@ -27,14 +27,14 @@
   readonly tokensPerSecond: number
   readonly outcomes: OutcomeSummary
   readonly outcomesByKind: Readonly<Record<string, OutcomeSummary>>
-  /** How often each reason came, as `<outcome>: <reason>`. */
+  /** Number of requests by outcome and reason, keyed `<outcome>: <reason>`. */
   readonly reasons: Readonly<Record<string, number>>
   readonly latencies: {
     readonly firstToken: LatencySummary
     readonly betweenTokens: LatencySummary
     readonly wholeAnswer: LatencySummary
     readonly plainCall: LatencySummary
-    /** How late this tool itself sent, against the plan. */
+    /** How much later than planned requests were sent. */
     readonly sendingDelay: LatencySummary
   }
   readonly cache: {
@@ -42,23 +42,23 @@
     readonly cachedTokens: number
     /** Cached share of all prompt tokens. */
     readonly tokenShare: number
-    /** Complete chat requests that go on with an earlier chat. */
+    /** Complete chat requests that continue an earlier chat. */
     readonly returning: number
-    /** Share of those whose whole history was cached. */
+    /** Share of those whose complete history was cached. */
     readonly requestShare: number
   }
   readonly backendServers: Readonly<Record<string, number>>
-  /** Open answers of the fullest model engine over their mean, sampled through the run. */
+  /** Load skew, sampled during the run: open answers of the model engine with the most of them, divided by the mean. */
   readonly skew: { readonly samples: number, readonly p50: number, readonly p99: number, readonly max: number }
 }
 
 export type LoadRecorder = {
   readonly recordSkipped: () => void
   readonly recordSendingDelay: (delayMs: number) => void
-  /** Notes that a backend server has begun to answer. */
+  /** Records that a backend server has begun to answer. */
   readonly recordServing: (kind: RequestKind, backendServer: string) => void
   readonly recordResult: (planned: PlannedRequest, sent: SentRequest) => void
-  /** Takes one sample of how the open answers spread over the backend servers. */
+  /** Samples the distribution of the open answers over the backend servers. */
   readonly sampleSkew: () => void
   readonly summarise: (durationMs: number) => LoadSummary
 }
@@ -136,7 +136,7 @@
     sampleSkew: () => {
       const counts = [...open.values()]
       const mean = counts.reduce((sum, count) => sum + count, 0) / counts.length
-      // Below one open answer a server, the ratio says nothing of the placement.
+      // With less than one open answer per server, the ratio says nothing about the placement.
       if (mean >= 1) skew.recordValue(Math.max(...counts) / mean * SKEW_SCALE)
     },
     summarise: (durationMs) => {
@@ -185,7 +185,7 @@
   histogram.recordValue(Math.min(HIGHEST_MICROSECONDS, Math.max(0, Math.round(milliseconds * MICROSECONDS_PER_MILLISECOND))))
 
 const summariseLatency = (histogram: Histogram): LatencySummary => {
-  // A quantile is the top of its bucket, which may lie above the maximum.
+  // A percentile is the upper bound of its bucket, which may exceed the maximum.
   const inMilliseconds = (value: number): number => Math.min(value, histogram.maxValue) / MICROSECONDS_PER_MILLISECOND
   if (histogram.totalCount === 0) return { count: 0, mean: 0, p50: 0, p95: 0, p99: 0, max: 0 }
   return {
--- a/src/load/formatLoadSummary/index.ts
+++ b/src/load/formatLoadSummary/index.ts
@@ -1,4 +1,4 @@
-/** The sums of a load as tables for a terminal. */
+/** Formats the summary of a load run as tables for a terminal. */
 import Table from 'cli-table3'
 import type { LatencySummary, LoadSummary, OutcomeSummary } from '../createLoadRecorder/index.js'
 
@@ -13,9 +13,9 @@
 ]
 
 /**
- * Formats what a load came to.
+ * Formats the summary of a load run.
  *
- * @param summary - The sums.
+ * @param summary - The summary.
  * @returns Several tables, with times in milliseconds.
  *
  * @example
--- a/src/load/planLoad/_lib/createChatPool.ts
+++ b/src/load/planLoad/_lib/createChatPool.ts
@@ -1,18 +1,18 @@
-/** Chats that pause between their turns. */
+/** Pool of the chats that wait for their next turn, ordered by its due time. */
 import type { ChatMessage } from '../../../emulator/composeAnswer/index.js'
 
 export type Chat = {
   readonly chatId: string
   readonly account: number
-  /** The last turn that was sent; 0 for none. */
+  /** Number of the last turn that was sent; 0 before the first. */
   readonly turn: number
   readonly messages: readonly ChatMessage[]
 }
 
 export type ChatPool = {
-  /** Lets a chat pause until `dueAt`. */
+  /** Adds a chat whose next turn is due at `dueAt`. */
   readonly add: (chat: Chat, dueAt: number) => void
-  /** Takes out the chat that has been due for longest, when one is due. */
+  /** Removes and returns the chat that has been due for longest, or `undefined` when none is due. */
   readonly takeDue: (now: number) => Chat | undefined
 }
 
@@ -40,7 +40,7 @@
   }
 }
 
-// The list runs from the latest to the earliest, so that the end is taken.
+// The list is sorted from the latest to the earliest due time, so that the earliest is removed from its end.
 const findPlace = (paused: readonly PausedChat[], dueAt: number): number => {
   let low = 0
   let high = paused.length
--- a/src/load/planLoad/_lib/createChoice.ts
+++ b/src/load/planLoad/_lib/createChoice.ts
@@ -1,14 +1,14 @@
-/** Choices by weight, prepared once and drawn from many times. */
+/** Weighted random choices, which are prepared once and drawn from many times. */
 import type { RandomSource } from '../../../types/index.js'
 
 export type Choice<Value> = (random: RandomSource) => Value
 
 /**
- * Prepares a choice in which each value comes in proportion to its weight.
+ * Creates a random choice with probabilities in proportion to the weights.
  *
  * @param values - At least one value, of which at least one has a weight above 0.
- * @param weigh - The weight of a value, from 0.
- * @returns Draws a value.
+ * @param weigh - Returns the weight of a value, at least 0.
+ * @returns A function that draws a value.
  *
  * @example
  * createWeightedChoice(['a', 'b'], (value) => value === 'a' ? 1 : 0)(random) // => 'a'
@@ -24,11 +24,11 @@
 }
 
 /**
- * Prepares a choice of a rank under a Zipf law.
+ * Creates a random choice of a rank from a Zipf distribution.
  *
- * @param count - How many ranks there are, at least 1.
- * @param exponent - 0 makes all ranks alike; 1 gives rank n one nth of the first.
- * @returns Draws a rank, from 0.
+ * @param count - Number of ranks, at least 1.
+ * @param exponent - With 0 all ranks are equally likely; with 1 the nth rank has 1/n of the weight of the first.
+ * @returns A function that draws a rank, from 0.
  *
  * @example
  * createZipfChoice(10, 1)(random) // => most often 0
--- a/src/load/planLoad/_lib/draw.ts
+++ b/src/load/planLoad/_lib/draw.ts
@@ -1,4 +1,4 @@
-/** Draws from distributions, and texts of a given size. */
+/** Draws from random distributions, and composes texts of a given size. */
 import type { RandomSource } from '../../../types/index.js'
 
 const CHARACTERS_PER_TOKEN = 4
@@ -17,12 +17,12 @@
 export const drawExponential = (random: RandomSource, mean: number): number => -Math.log(1 - random.next()) * mean
 
 /**
- * Draws a whole number evenly.
+ * Draws an integer from a uniform distribution.
  *
  * @param random - Source of the draw.
- * @param smallest - Least value, included.
- * @param largest - Greatest value, included; below `smallest` it counts as equal to it.
- * @returns A whole number.
+ * @param smallest - Minimum, inclusive.
+ * @param largest - Maximum, inclusive; a value below `smallest` counts as `smallest`.
+ * @returns An integer.
  *
  * @example
  * drawWhole(random, 1, 6)
@@ -31,10 +31,10 @@
   smallest + Math.floor(random.next() * Math.max(1, largest - smallest + 1))
 
 /**
- * Composes a text of about so many tokens of the stand-in engine.
+ * Composes a text of a given size in tokens of the emulated model engine.
  *
- * @param opening - What the text begins with, whatever its size.
- * @param tokens - Size that the text is filled up to.
+ * @param opening - Beginning of the text, never shortened.
+ * @param tokens - Size of the text in tokens; an opening that is longer is not filled up.
  * @returns The text.
  *
  * @example
--- a/src/load/planLoad/index.ts
+++ b/src/load/planLoad/index.ts
@@ -1,7 +1,7 @@
 /**
- * Plans a load: who sends what, when. The plan follows from its options and
- * the random source alone, and is made as it is read, so that a long run needs
- * no more memory than its chats.
+ * Plans the requests of a load run. The plan depends on its options and the
+ * random source alone. It is generated lazily, so that the memory of a long run is
+ * bounded by its chats.
  */
 import { composeAnswer, type ChatMessage } from '../../emulator/composeAnswer/index.js'
 import type { RandomSource } from '../../types/index.js'
@@ -12,15 +12,15 @@
 export type RequestKind = 'chat' | 'overnight' | 'lookup' | 'order'
 
 export type PlannedRequest = {
-  /** When it is sent, in milliseconds from the start. */
+  /** Time at which it is sent, in milliseconds from the start. */
   readonly atMs: number
-  /** Which of the client accounts sends it, from 0. */
+  /** Index of the client account that sends it, from 0. */
   readonly account: number
 } & (
   | {
     readonly kind: 'chat' | 'overnight'
     readonly chatId: string
-    /** 1 for the opening of a chat. */
+    /** Number of the turn in its chat, from 1. */
     readonly turn: number
     readonly model: string
     readonly messages: readonly ChatMessage[]
@@ -31,20 +31,20 @@
 )
 
 export type LoadPlanOptions = {
-  /** Requests a second, on average; the gaps between them are exponential. */
+  /** Mean number of requests per second; the times between them are exponentially distributed. */
   readonly rate: number
   readonly durationMs: number
-  /** The plan ends after so many requests, also within its duration. */
+  /** Maximum number of requests; the plan may end before its duration. */
   readonly maximumRequests: number
   readonly accounts: number
-  /** Exponent of the Zipf law by which accounts share the load; 0 is even. */
+  /** Exponent of the Zipf distribution of requests over the client accounts; 0 is uniform. */
   readonly accountSkew: number
-  /** How often each kind comes, relative to the others. */
+  /** Relative frequency of each kind. */
   readonly mix: Readonly<Record<RequestKind, number>>
-  /** Share of chat requests that go on with an earlier chat, when one is due. */
+  /** Share of chat requests that continue an earlier chat, when one is due. */
   readonly returningShare: number
   readonly meanThinkTimeMs: number
-  /** How long an answer is taken to last, for each of its tokens; the think time begins after it. */
+  /** Assumed duration of an answer per token, in milliseconds; the think time begins after the answer. */
   readonly answerTimePerTokenMs: number
   readonly maximumTurns: number
   readonly systemTokens: number
@@ -83,14 +83,14 @@
 /**
  * Plans the requests of an open loop, in the order of their times.
  *
- * A chat that goes on sends its whole history: what was asked, and the answers
- * that the stand-in engine gives. It becomes due a think time after its last
- * turn was answered, by the time that an answer is taken to last: nobody goes
- * on before they have read the answer. Of the chats that are due, the one that waited longest goes on.
+ * Each further turn of a chat sends the complete history: the questions, and the
+ * answers of the emulated model engine. It is due a think time after the assumed
+ * end of the last answer, as a user reads the answer before the next question. Of
+ * the chats that are due, the one that has been due for longest continues first.
  *
  * @param options - Rates, times and sizes; see `DEFAULT_LOAD_PLAN`.
- * @param random - Every draw comes from here.
- * @returns The requests, made as they are read.
+ * @param random - Source of all random draws.
+ * @returns The requests, generated lazily.
  *
  * @example
  * for (const request of planLoad(DEFAULT_LOAD_PLAN, createSeededRandom(1))) console.log(request.atMs)
--- a/src/load/planLoad/test.ts
+++ b/src/load/planLoad/test.ts
@@ -16,12 +16,12 @@
   values.reduce((counts, value) => counts.set(value, (counts.get(value) ?? 0) + 1), new Map<string | number, number>())
 
 describe('planLoad', () => {
-  it('repeats itself for the same seed and not for another', () => {
+  it('makes the same plan for the same seed and another one for another seed', () => {
     expect(plan()).toEqual(plan())
     expect(plan()).not.toEqual(plan({}, 2))
   })
 
-  it('sends in the order of time, within its duration, at about its rate', () => {
+  it('plans requests in the order of time, within the duration, at about the rate', () => {
     const times = plan({ durationMs: 20_000 }).map(({ atMs }) => atMs)
     expect(times).toEqual([...times].sort((left, right) => left - right))
     expect(times.at(-1)).toBeLessThan(20_000)
@@ -29,7 +29,7 @@
     expect(times.length).toBeLessThan(4300)
   })
 
-  it('ends after its number of requests', () => {
+  it('ends after the maximum number of requests', () => {
     expect(plan({ maximumRequests: 7 })).toHaveLength(7)
   })
 
@@ -44,17 +44,17 @@
     expect(kinds.get('chat')! / kinds.get('order')!).toBeLessThan(7.5)
   })
 
-  it('needs at least one kind', () => {
+  it('needs at least one kind with a weight above 0', () => {
     expect(() => plan({ mix: { chat: 0, overnight: 0, lookup: 0, order: 0 } })).toThrow(/weight/)
   })
 
-  it('gives the first account most of a skewed load', () => {
+  it('assigns most of a skewed load to the first client account', () => {
     const counts = countBy(plan({ accounts: 5, accountSkew: 1, mix: only('lookup') }).map(({ account }) => account))
     expect([...counts.keys()].sort()).toEqual([0, 1, 2, 3, 4])
     expect(counts.get(0)! / counts.get(4)!).toBeGreaterThan(3)
   })
 
-  it('goes on with a chat by its whole history, with the answers of the stand-in engine', () => {
+  it('continues a chat with its complete history, including the answers of the emulated model engine', () => {
     const turns = plan().filter(isChat)
     const second = turns.find(({ turn }) => turn === 2)!
     const first = turns.find(({ chatId, turn }) => chatId === second.chatId && turn === 1)!
@@ -63,14 +63,14 @@
     expect([second.account, second.atMs > first.atMs]).toEqual([first.account, true])
   })
 
-  it('pauses between the turns of a chat, and ends it after its last', () => {
+  it('plans each turn of a chat once, and ends the chat after its maximum of turns', () => {
     const turns = plan({ mix: only('chat'), maximumTurns: 3, meanThinkTimeMs: 100 }).filter(isChat)
     expect(Math.max(...turns.map(({ turn }) => turn))).toBe(3)
     const keys = turns.map(({ chatId, turn }) => `${chatId} ${turn}`)
     expect(new Set(keys).size).toBe(keys.length)
   })
 
-  it('goes on with no chat before its answer can have been read', () => {
+  it('continues no chat before the assumed end of its last answer', () => {
     const turns = plan({ mix: only('chat'), meanThinkTimeMs: 1, answerTimePerTokenMs: 10 }).filter(isChat)
     const early = turns.filter(({ chatId, turn, atMs }) => {
       const before = turns.find((other) => other.chatId === chatId && other.turn === turn - 1)
@@ -79,11 +79,11 @@
     expect(early).toEqual([])
   })
 
-  it('opens a chat each time when none returns', () => {
+  it('opens a new chat for each request when no chat returns', () => {
     expect(plan({ returningShare: 0 }).filter(isChat).every(({ turn }) => turn === 1)).toBe(true)
   })
 
-  it('gives each order an idempotency key of its own', () => {
+  it('gives each order its own idempotency key', () => {
     const keys = plan({ mix: only('order') }).map((request) => request.kind === 'order' ? request.idempotencyKey : '')
     expect(new Set(keys).size).toBe(keys.length)
   })
--- a/src/load/runLoad/index.ts
+++ b/src/load/runLoad/index.ts
@@ -1,4 +1,4 @@
-/** Runs a planned load as an open loop: each request goes out at its time, whatever became of the others. */
+/** Runs a planned load as an open loop: each request is sent at its planned time, independent of the answers to the others. */
 import { Agent } from 'undici'
 import type { Clock } from '../../types/index.js'
 import { createLoadRecorder, type LoadSummary } from '../createLoadRecorder/index.js'
@@ -7,20 +7,20 @@
 
 export type LoadRunOptions = {
   readonly clock: Clock
-  /** Origins of the routers, taken in turn. */
+  /** Origins of the routers, used round-robin. */
   readonly routers: readonly string[]
-  /** The key of each client account of the plan. */
+  /** The API key of each client account of the plan. */
   readonly keys: readonly string[]
-  /** Whether the hint of an answer is sent back with the next turn of its chat. */
+  /** Whether the `x-chat-hint` of an answer is sent with the next turn of its chat. */
   readonly sendChatHints: boolean
-  /** How long a request may take, in milliseconds. */
+  /** Time-out of a request, in milliseconds. */
   readonly timeoutMs: number
-  /** Beyond so many open requests a planned one is skipped, and counted as that. */
+  /** Maximum number of open requests; a planned request beyond it is skipped and counted as skipped. */
   readonly maximumOpen: number
-  /** Told of every outcome, for those who compare it with what ran. */
+  /** Called with every outcome, for example to compare it with the journals of the emulated servers. */
   readonly onResult?: (planned: PlannedRequest, sent: SentRequest) => void
   readonly onProgress?: (progress: LoadProgress) => void
-  /** Ends the sending; what is open is waited for. */
+  /** Stops sending; open requests are still awaited. */
   readonly signal?: AbortSignal
 }
 
@@ -32,14 +32,14 @@
 const MAXIMUM_HINTS = 100_000
 
 /**
- * Sends the planned requests to the routers and adds up what came of them.
+ * Sends the planned requests to the routers and summarises their outcomes.
  *
- * Latencies count from when a request was sent; how far this process was
- * behind the plan by then is reported beside them.
+ * Latencies are counted from the time a request was sent. How much later than
+ * planned that was is reported separately, as `sendingDelay`.
  *
  * @param plan - Requests in the order of their times.
- * @param options - Where to send, as whom, and the bounds.
- * @returns The sums, once every request has its outcome.
+ * @param options - The routers, the keys of the client accounts, and the limits.
+ * @returns The summary, once every request has an outcome.
  *
  * @example
  * await runLoad(planLoad(DEFAULT_LOAD_PLAN, random), { clock, routers: [url], keys: [key], sendChatHints: true, timeoutMs: 60_000, maximumOpen: 1000 })
@@ -81,7 +81,7 @@
   const stopProgress = repeat(clock, PROGRESS_MS, () => options.onProgress?.({ elapsedMs: elapsed(), summary: recorder.summarise(elapsed()), open: open.size }))
   for (const planned of plan) {
     const aheadMs = planned.atMs - elapsed()
-    // Also when behind the plan, answers must be read between the sends.
+    // Yields regularly also when sending is behind the plan, so that answers are read.
     if (aheadMs > 0 || started % SENDS_IN_ONE_TURN === 0) await wait(clock, Math.max(0, aheadMs), options.signal)
     if (options.signal?.aborted === true) break
     start(planned)
--- a/src/load/runLoad/test.ts
+++ b/src/load/runLoad/test.ts
@@ -38,7 +38,7 @@
 }
 
 describe('runLoad', () => {
-  it('counts every chat request complete when all answers are whole', async () => {
+  it('counts every chat request as complete when all answers are complete', async () => {
     const server = await startEngine()
     const summary = await run(server.url, { mix: { ...CHATS, overnight: 1 } })
     expect(summary.outcomes).toEqual({ complete: 30, refusedNotRun: 0, refusedUnknown: 0, broken: 0, wrong: 0 })
@@ -46,14 +46,14 @@
     expect([summary.latencies.firstToken.count, summary.latencies.wholeAnswer.count]).toEqual([summary.outcomesByKind['chat']!.complete, 30])
   })
 
-  it('sees that a returning chat was cached where its turns follow upon each other', async () => {
+  it('reports cached tokens for chats that continue', async () => {
     const summary = await run((await startEngine()).url, { mix: CHATS, rate: 20, meanThinkTimeMs: 60, returningShare: 1, maximumTurns: 30 })
     expect(summary.cache.returning).toBeGreaterThan(5)
     expect(summary.cache.cachedTokens).toBeGreaterThan(0)
     expect(summary.cache.tokenShare).toBeCloseTo(summary.cache.cachedTokens / summary.cache.promptTokens)
   })
 
-  it('counts plain calls complete when they answer the very request', async () => {
+  it('counts plain requests as complete when each gets its own answer', async () => {
     const server = await createPlainServiceServer({ clock, delayMs: 1 })
     closers.push(server.close)
     const summary = await run(server.url, { mix: PLAIN_CALLS })
@@ -66,13 +66,13 @@
     ['crossedAnswer', { wrong: 1 }],
     ['duplicateEvent', { wrong: 1 }],
     ['resetAfterRead', { broken: 1 }]
-  ])('tells one answer spoilt by %s from the others', async (fault, expected) => {
+  ])('detects one answer with the fault %s among complete ones', async (fault, expected) => {
     const server = await startEngine()
     server.faults.apply({ fault, count: 1, after: 1 })
     expect((await run(server.url, { mix: CHATS, answerTokens: 30 })).outcomes).toMatchObject({ complete: 29, ...expected })
   })
 
-  it.each(['cutAnswer', 'truncateAnswer'])('tells a plain answer spoilt by %s', async (fault) => {
+  it.each(['cutAnswer', 'truncateAnswer'])('detects an answer of a plain service with the fault %s', async (fault) => {
     const server = await createPlainServiceServer({ clock, delayMs: 1 })
     closers.push(server.close)
     server.faults.apply({ fault, count: 1, after: 1 })
@@ -93,7 +93,7 @@
     expect((await run(url, { mix: CHATS })).outcomes).toMatchObject({ broken: 30 })
   })
 
-  // A stream that ended in an error event would count as a broken answer.
+  // The socket is destroyed after the error event, so the stream could be counted as broken.
   it('counts a stream that ends in an error event as refused', async () => {
     const url = await startFakeRouter((reply) => {
       reply.hijack()
@@ -117,7 +117,7 @@
     expect((await run(url, { mix: CHATS })).backendServers).toEqual({ a: 20, b: 10 })
   })
 
-  it('skips what would be one open request too many', async () => {
+  it('skips requests beyond the maximum number of open requests', async () => {
     let release = (): void => {}
     const released = new Promise<void>((resolve) => { release = resolve })
     const url = await startFakeRouter(async (reply) => {
@@ -132,7 +132,7 @@
     expect([summary.sent, summary.skipped]).toEqual([5, 25])
   })
 
-  it('stops sending when told so, and waits for what is open', async () => {
+  it('stops sending when aborted, and waits for open requests', async () => {
     const server = await startEngine()
     const controller = new AbortController()
     const running = run(server.url, { mix: CHATS, rate: 0.001, durationMs: 1e9 }, { signal: controller.signal })
@@ -140,7 +140,7 @@
     expect((await running).sent).toBe(0)
   })
 
-  it('formats its sums', async () => {
+  it('formats its summary', async () => {
     const summary = await run((await startEngine()).url, { mix: CHATS, maximumRequests: 2 })
     expect(formatLoadSummary(summary)).toContain('first token')
   })
--- a/src/load/sendPlannedRequest/_lib/checkAnswer.ts
+++ b/src/load/sendPlannedRequest/_lib/checkAnswer.ts
@@ -1,4 +1,4 @@
-/** Judges an answer that came to its end: complete, refused, broken, or somebody else's. */
+/** Checks an answer that was read to its end: complete, refused, broken, or the answer to another request. */
 import { z } from 'zod'
 import { composeAnswer } from '../../../emulator/composeAnswer/index.js'
 import { lookUpStock } from '../../../emulator/createPlainServiceServer/index.js'
@@ -64,10 +64,10 @@
 /**
  * Checks an answer that was read to its end.
  *
- * @param planned - What was asked.
+ * @param planned - The request.
  * @param status - HTTP status of the answer.
- * @param read - What was read.
- * @returns The outcome, and why it is not `complete`.
+ * @param read - The answer.
+ * @returns The outcome, and the reason when it is not `complete`.
  *
  * @example
  * checkAnswer(planned, 200, reader.read()).outcome
--- a/src/load/sendPlannedRequest/_lib/createAnswerReader.ts
+++ b/src/load/sendPlannedRequest/_lib/createAnswerReader.ts
@@ -1,4 +1,4 @@
-/** Reads an answer as it arrives: its text, when its tokens came, its usage, and a refusal inside a stream. */
+/** Reads an answer as it arrives: its text, the times of its tokens, its usage, and a refusal inside a stream. */
 import { createParser } from 'eventsource-parser'
 import { z } from 'zod'
 import type { Clock } from '../../../types/index.js'
@@ -8,7 +8,7 @@
 export type AnswerUsage = { readonly promptTokens: number, readonly cachedTokens: number, readonly completionTokens: number }
 
 export type AnswerRead = {
-  /** The body as it came. */
+  /** The body as received. */
   readonly body: string
   /** Text of the events of a stream, joined. */
   readonly content: string
@@ -42,10 +42,10 @@
 })
 
 /**
- * Takes a refusal out of a parsed body or event.
+ * Reads a refusal from a parsed body or event.
  *
  * @param parsed - Any JSON value.
- * @returns The refusal, or nothing when the value is none.
+ * @returns The refusal, or `undefined` when the value is not a refusal.
  *
  * @example
  * readRefusal({ error: { code: 'deadline', outcome: 'not-run' } }) // => { outcome: 'refusedNotRun', reason: 'deadline' }
@@ -58,10 +58,10 @@
 }
 
 /**
- * Takes the usage out of a parsed answer or event.
+ * Reads the usage of a parsed answer or event.
  *
- * @param usage - The value of its `usage`.
- * @returns Tokens of the prompt, those of them that were cached, and those generated; nothing when absent.
+ * @param usage - The value of its field `usage`.
+ * @returns Numbers of prompt tokens, cached prompt tokens and generated tokens, or `undefined` when absent.
  *
  * @example
  * readUsage({ prompt_tokens: 9, completion_tokens: 2, prompt_tokens_details: { cached_tokens: 4 } })
@@ -78,7 +78,7 @@
  * Creates a reader of one answer.
  *
  * @param clock - Times the tokens.
- * @param startedAt - When the request was sent, by that clock.
+ * @param startedAt - Time of that clock at which the request was sent, in milliseconds.
  * @returns The reader.
  *
  * @example
@@ -137,10 +137,10 @@
 }
 
 /**
- * Parses JSON that may be none.
+ * Parses a text that may not be JSON.
  *
  * @param text - Any text.
- * @returns The value, or `undefined`.
+ * @returns The value, or `undefined` when the text is not JSON.
  *
  * @example
  * parseJson('{') // => undefined
--- a/src/load/sendPlannedRequest/index.ts
+++ b/src/load/sendPlannedRequest/index.ts
@@ -1,32 +1,33 @@
-/** Sends one planned request to a router and says what came of it. */
+/** Sends one planned request to a router and determines its outcome. */
 import type { Dispatcher } from 'undici'
 import type { Clock } from '../../types/index.js'
 import type { PlannedRequest } from '../planLoad/index.js'
 import { checkAnswer, type AnswerCheck } from './_lib/checkAnswer.js'
 import { createAnswerReader, type AnswerRead } from './_lib/createAnswerReader.js'
 
-/** What the caller was left with. Only `complete` is a success. */
+/** Outcome of a request as the caller sees it. Only `complete` is a success. */
 export type LoadOutcome =
   | 'complete'
   /** A refusal that says the request was not run. */
   | 'refusedNotRun'
   /** A refusal that says the outcome is unknown. */
   | 'refusedUnknown'
-  /** No complete answer and no refusal either: what must never be. */
+  /** Neither a complete answer nor a refusal: a fault of the fleet. */
   | 'broken'
-  /** A complete answer that is not the one to this request: what must never be. */
+  /** A complete answer, but not the one to this request: a fault of the fleet. */
   | 'wrong'
 
 export type SentRequest = {
   readonly outcome: LoadOutcome
-  /** The refusal's reason, or what was broken or wrong. */
+  /** The reason of the refusal, or what is broken or wrong. */
   readonly reason?: string
-  /** The identifier that the router gave the request. */
+  /** The request identifier that the router assigned. */
   readonly requestId?: string
+  /** The backend server that answered. */
   readonly servedBy?: string
   /** Sent back with the next turn of the chat. */
   readonly chatHint?: string
-  /** Milliseconds from when it was sent to the first token, for streams. */
+  /** Time from sending the request to the first token, in milliseconds; streams only. */
   readonly firstTokenMs?: number
   readonly betweenTokensMs: readonly number[]
   readonly wholeMs: number
@@ -45,7 +46,7 @@
   readonly clock: Clock
   readonly timeoutMs: number
   readonly chatHint?: string | undefined
-  /** Told of the server as soon as the answer's head is there. */
+  /** Called with the backend server as soon as the response headers have arrived. */
   readonly onServedBy?: (backendServer: string) => void
 }
 
@@ -58,14 +59,14 @@
 /**
  * Sends a planned request once, reads the answer to its end and checks it.
  *
- * The answer must be complete (the end marker of a stream, the whole body) and
- * must be the one that the stand-ins give to this very request. It never
- * throws: whatever goes wrong is an outcome.
+ * The answer must be complete (a stream up to its end marker, otherwise the
+ * complete body) and must be the one that the emulated servers give to this
+ * request. The function never throws: every error is an outcome.
  *
- * @param planned - What to send.
- * @param target - The router and the client account's key.
- * @param options - Clock and time-out in milliseconds; the chat's hint.
- * @returns What came of it.
+ * @param planned - The request to send.
+ * @param target - The router and the key of the client account.
+ * @param options - Clock, time-out in milliseconds, and the chat hint.
+ * @returns The outcome, with its latencies and usage.
  *
  * @example
  * await sendPlannedRequest(planned, { dispatcher, url, key }, { clock, timeoutMs: 60_000 })
@@ -89,8 +90,8 @@
     for await (const chunk of response.body) reader.add(chunk as Buffer)
     return finish(checkAnswer(planned, response.statusCode, reader.read()))
   } catch (error) {
-    // A stream that fails tells so in an event before its socket is destroyed;
-    // the destroyed socket ends up here, the event in what was read.
+    // The router sends an error event before it destroys the socket of a failed
+    // stream. The destroyed socket is caught here; the event has been read before.
     const { refusal } = reader.read()
     return finish(refusal ?? { outcome: 'broken', reason: describeError(error) })
   }
