--- a/src/bench/crowd/_lib/playCrowd.ts
+++ b/src/bench/crowd/_lib/playCrowd.ts
@@ -5,7 +5,7 @@
  * they do in a real fleet.
  */
 import { createSeededRandom } from '../../../adapters/seededRandom/index.js'
-import { createKnowledgeFleet, type KnowledgeFleet } from '../../../emulator/createKnowledgeFleet/index.js'
+import { createInProcessFleet, type InProcessFleet } from '../../../emulator/createInProcessFleet/index.js'
 import { formatInstanceKey } from '../../../decisions/formatInstanceKey/index.js'
 import { selectInstance } from '../../../services/forwarding/_lib/selectInstance.js'
 import type { GatewayNode } from '../../../node/createGatewayNode/index.js'
@@ -96,7 +96,7 @@
 const nameEngine = (index: number): string => `engine-${String(index).padStart(3, '0')}`
 
 /** What engines hold in truth, whatever the nodes believe. */
-const createEngines = (fleet: KnowledgeFleet, zones: number) => {
+const createEngines = (fleet: InProcessFleet, zones: number) => {
   const held = new Map<string, number>()
   const kept = new Set<string>()
   return {
@@ -132,7 +132,7 @@
  */
 export const playCrowd = async (options: CrowdOptions): Promise<CrowdOutcome> => {
   const random = createSeededRandom(options.seed).next
-  const fleet = createKnowledgeFleet({ nodesPerZone: options.nodesPerZone, zones: options.zones, random })
+  const fleet = createInProcessFleet({ nodesPerZone: options.nodesPerZone, zones: options.zones, random })
   const engines = createEngines(fleet, options.zones)
   for (let index = 0; index < options.engines; index++) engines.add(index)
   await fleet.start()
--- a/src/bench/gatewayControl/index.ts
+++ b/src/bench/gatewayControl/index.ts
@@ -4,7 +4,7 @@
  * well it knows the load of all others.
  */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
-import { createKnowledgeFleet, type KnowledgeFleet } from '../../emulator/createKnowledgeFleet/index.js'
+import { createInProcessFleet, type InProcessFleet } from '../../emulator/createInProcessFleet/index.js'
 import { groupBy } from '../../kernel/groupBy/index.js'
 import { formatInstanceKey } from '../../decisions/formatInstanceKey/index.js'
 import type { Bench } from '../types.js'
@@ -41,7 +41,7 @@
 }
 
 /** Starts requests on each node at the usual rate until it is stopped. */
-const runRequests = (fleet: KnowledgeFleet, random: () => number): (() => void) => {
+const runRequests = (fleet: InProcessFleet, random: () => number): (() => void) => {
   let isStopped = false
   const startOne = (index: number): void => {
     if (isStopped) return
@@ -58,12 +58,12 @@
   return () => { isStopped = true }
 }
 
-const readBytes = (fleet: KnowledgeFleet): readonly ReadonlyMap<string, number>[] => fleet.transports.map((transport) => new Map(transport.bytesSent()))
+const readBytes = (fleet: InProcessFleet): readonly ReadonlyMap<string, number>[] => fleet.transports.map((transport) => new Map(transport.bytesSent()))
 
-const readMessages = (fleet: KnowledgeFleet): number => fleet.transports.reduce((sum, transport) => sum + transport.messagesSent(), 0)
+const readMessages = (fleet: InProcessFleet): number => fleet.transports.reduce((sum, transport) => sum + transport.messagesSent(), 0)
 
 /** Mean error of the load that a node believes a server to have, against all nodes' own counts. */
-const measureLoadError = (fleet: KnowledgeFleet): number => {
+const measureLoadError = (fleet: InProcessFleet): number => {
   const keys = fleet.nodes[0]!.resolve('instanceRegistry').all().map(formatInstanceKey)
   const errors = keys.flatMap((key) => {
     const truth = fleet.nodes.reduce((sum, node) => sum + node.resolve('loadView').ownInFlight(key), 0)
@@ -74,7 +74,7 @@
 
 const measure = async (size: GatewayFleetSize, seed: number): Promise<readonly (string | number)[]> => {
   const random = createRandom(seed)
-  const fleet = createKnowledgeFleet({ nodesPerZone: size.nodes / size.zones, zones: size.zones, random })
+  const fleet = createInProcessFleet({ nodesPerZone: size.nodes / size.zones, zones: size.zones, random })
   for (let index = 0; index < size.servers; index++) fleet.putInstance(`engine-${index}`, { availabilityZone: `zone-${index % size.zones}` })
   await fleet.start()
   await fleet.clock.advanceAndSettle(WARM_UP_MS / 2)
--- a/src/emulator/_lib/backendFaults.ts
+++ b/src/emulator/_lib/backendFaults.ts
@@ -39,7 +39,7 @@
  * @example
  * isDown(createBackendFaults(), clock) // => false
  */
-export const isDown = (faults: BackendFaults, clock: Clock): boolean => {
+export const isRefusingConnections = (faults: BackendFaults, clock: Clock): boolean => {
   if (faults.peek('refuseConnections') !== undefined) return true
   const flapping = faults.peek('flapping')
   return flapping !== undefined && Math.floor(clock.now() / Math.max(1, flapping.ms)) % 2 === 1
--- a/src/emulator/_lib/createAnswerWriter.ts
+++ b/src/emulator/_lib/createAnswerWriter.ts
@@ -15,7 +15,7 @@
 
 type FaultContext = { readonly response: ServerResponse, readonly clock: Clock, readonly setting: FaultSetting }
 
-const WHOLE_ANSWER_PIECE = 16
+const ANSWER_PIECE_CHARACTERS = 16
 
 const ignore = (): void => {}
 
@@ -27,25 +27,25 @@
 
 /** Writes the first `after` pieces, then calls `stop` once and drops all that follows. */
 const stopAfter = (writer: AnswerWriter, after: number, stop: () => void): AnswerWriter => {
-  let left = after
-  let stopped = false
+  let piecesLeft = after
+  let isStopped = false
   const stopOnce = (): void => {
-    if (stopped) return
-    stopped = true
+    if (isStopped) return
+    isStopped = true
     stop()
   }
   return {
     head: writer.head,
     piece: (text) => {
-      if (left > 0) writer.piece(text)
+      if (piecesLeft > 0) writer.piece(text)
       else stopOnce()
-      left -= 1
+      piecesLeft -= 1
     },
     end: stopOnce
   }
 }
 
-const withoutLength = (writer: AnswerWriter): AnswerWriter => ({
+const removeContentLength = (writer: AnswerWriter): AnswerWriter => ({
   ...writer,
   head: (status, headers) => {
     const { 'content-length': _length, ...rest } = headers
@@ -53,15 +53,15 @@
   }
 })
 
-const delay = (writer: AnswerWriter, clock: Clock, ms: number): AnswerWriter => {
+const delayAnswer = (writer: AnswerWriter, clock: Clock, ms: number): AnswerWriter => {
   let held: (() => void)[] | undefined
-  let passed = false
+  let isElapsed = false
   const run = (action: () => void): void => {
-    if (passed) return action()
+    if (isElapsed) return action()
     if (held === undefined) {
       held = []
       clock.setTimer(ms, () => {
-        passed = true
+        isElapsed = true
         held?.forEach((heldAction) => heldAction())
       })
     }
@@ -96,11 +96,11 @@
 }
 
 const ANSWER_FAULTS: Readonly<Record<AnswerFault, (writer: AnswerWriter, context: FaultContext) => AnswerWriter>> = {
-  duplicateEvent: (writer, { setting }) => repeatPiece(withoutLength(writer), setting.after),
+  duplicateEvent: (writer, { setting }) => repeatPiece(removeContentLength(writer), setting.after),
   freezeAnswer: (writer, { setting }) => stopAfter(writer, setting.after, ignore),
-  truncateAnswer: (writer, { response, setting }) => stopAfter(withoutLength(writer), setting.after, () => response.end()),
+  truncateAnswer: (writer, { response, setting }) => stopAfter(removeContentLength(writer), setting.after, () => response.end()),
   cutAnswer: (writer, { response, setting }) => stopAfter(writer, setting.after, () => cutConnection(response, setting.after)),
-  lateAnswer: (writer, { clock, setting }) => delay(writer, clock, setting.ms)
+  lateAnswer: (writer, { clock, setting }) => delayAnswer(writer, clock, setting.ms)
 }
 
 /**
@@ -136,8 +136,8 @@
  * @example
  * writeWhole(writer, 200, { 'content-type': 'application/json' }, '{}')
  */
-export const writeWhole = (writer: AnswerWriter, status: number, headers: Readonly<Record<string, string>>, body: string): void => {
+export const writeCompleteAnswer = (writer: AnswerWriter, status: number, headers: Readonly<Record<string, string>>, body: string): void => {
   writer.head(status, { ...headers, 'content-length': String(Buffer.byteLength(body)) })
-  for (let start = 0; start < body.length; start += WHOLE_ANSWER_PIECE) writer.piece(body.slice(start, start + WHOLE_ANSWER_PIECE))
+  for (let start = 0; start < body.length; start += ANSWER_PIECE_CHARACTERS) writer.piece(body.slice(start, start + ANSWER_PIECE_CHARACTERS))
   writer.end()
 }
--- a/src/emulator/_lib/createBackendFrame.ts
+++ b/src/emulator/_lib/createBackendHttpServer.ts
@@ -2,16 +2,16 @@
 import fastify, { type FastifyInstance, type FastifyReply, type FastifyRequest } from 'fastify'
 import type { Clock, LoadReport, RequestPriority } from '../../types/index.js'
 import type { Journal } from '../createJournal/index.js'
-import { isDown, type BackendFaults } from './backendFaults.js'
+import { isRefusingConnections, type BackendFaults } from './backendFaults.js'
 import { listen, type EmulatedServer, type ListenAddress } from './listen.js'
 import { createControlServer, registerControlRoutes } from './registerControlRoutes.js'
 
-export type BackendFrame = {
+export type BackendHttpServer = {
   readonly server: FastifyInstance
   readonly listen: (address: ListenAddress) => Promise<EmulatedServer>
 }
 
-export type BackendFrameOptions = {
+export type BackendHttpServerOptions = {
   readonly clock: Clock
   readonly faults: BackendFaults
   readonly journal: Journal
@@ -37,23 +37,23 @@
  * @example
  * const frame = createBackendFrame({ clock, faults, journal, report })
  */
-export const createBackendFrame = ({ clock, faults, journal, report }: BackendFrameOptions): BackendFrame => {
+export const createBackendHttpServer = ({ clock, faults, journal, report }: BackendHttpServerOptions): BackendHttpServer => {
   const server = fastify({ bodyLimit: BODY_LIMIT, forceCloseConnections: true, routerOptions: { maxParamLength: 1000 } })
   const control = { faults, pages: { '/journal': () => ({ entries: journal.entries() }) } }
   registerControlRoutes(server, control)
 
   server.server.on('connection', (socket) => {
-    if (!isDown(faults, clock)) return
+    if (!isRefusingConnections(faults, clock)) return
     faults.take('refuseConnections')
     socket.resetAndDestroy()
   })
   // Requests on an idle keep-alive connection would still reach a server that is
   // meant to be unreachable.
   faults.onChange(() => {
-    if (isDown(faults, clock)) server.server.closeIdleConnections()
+    if (isRefusingConnections(faults, clock)) server.server.closeIdleConnections()
   })
   server.addHook('onRequest', async (request, reply) => {
-    if (!isDown(faults, clock)) return
+    if (!isRefusingConnections(faults, clock)) return
     dropConnection(request, reply)
   })
 
@@ -99,7 +99,7 @@
  * @example
  * return refuseNotRun(reply, requestId, 'leaving')
  */
-export const refuseNotRun = (reply: FastifyReply, requestId: string, reason: string): FastifyReply =>
+export const sendNotRunRefusal = (reply: FastifyReply, requestId: string, reason: string): FastifyReply =>
   reply.code(503).headers({ 'x-not-run': reason, 'x-request-id': requestId }).send({ error: { message: `not run: ${reason}`, code: reason } })
 
 /**
--- a/src/emulator/_lib/registerControlRoutes.ts
+++ b/src/emulator/_lib/registerControlRoutes.ts
@@ -1,6 +1,6 @@
 /** Control routes of an emulated server: tests turn faults on and off and read what it has done. */
 import fastify, { type FastifyInstance } from 'fastify'
-import { faultOrderSchema, type FaultSwitches } from '../createFaultSwitches/index.js'
+import { faultCommandSchema, type FaultSwitches } from '../createFaultSwitches/index.js'
 
 export type ControlOptions<Name extends string> = {
   readonly faults: FaultSwitches<Name>
@@ -19,9 +19,9 @@
  */
 export const registerControlRoutes = <Name extends string>(server: FastifyInstance, { faults, pages }: ControlOptions<Name>): void => {
   server.post('/faults', async (request, reply) => {
-    const order = faultOrderSchema.safeParse(request.body)
-    if (!order.success) return reply.code(400).send({ message: order.error.message })
-    if (!faults.apply(order.data)) return reply.code(400).send({ message: `there is no fault ${order.data.fault}` })
+    const command = faultCommandSchema.safeParse(request.body)
+    if (!command.success) return reply.code(400).send({ message: command.error.message })
+    if (!faults.apply(command.data)) return reply.code(400).send({ message: `there is no fault ${command.data.fault}` })
     return faults.settings()
   })
   server.get('/faults', async () => faults.settings())
--- a/src/emulator/composeAnswer/index.ts
+++ b/src/emulator/composeAnswer/index.ts
@@ -15,9 +15,9 @@
 }
 
 const MARKER_LENGTH = 40
-const SHORTEST_ANSWER = 24
-const ANSWER_LENGTHS = 232
-const MIXING_STEP = 2654435761
+const MINIMUM_ANSWER_TOKENS = 24
+const ANSWER_LENGTH_RANGE = 232
+const HASH_MULTIPLIER = 2654435761
 const HASH_SPACE = 2 ** 32
 
 const WORDS: readonly string[] = [
@@ -42,13 +42,13 @@
  */
 export const composeAnswer = (messages: readonly ChatMessage[], maximumTokens: number = Infinity): ComposedAnswer => {
   const seed = hashMessages(messages)
-  const naturalLength = SHORTEST_ANSWER + seed % ANSWER_LENGTHS
-  const length = Math.min(naturalLength, maximumTokens)
+  const fullLength = MINIMUM_ANSWER_TOKENS + seed % ANSWER_LENGTH_RANGE
+  const length = Math.min(fullLength, maximumTokens)
   const marker = (messages.at(-1)?.content ?? '').slice(0, MARKER_LENGTH)
   const opening = [`[${seed.toString(16).padStart(8, '0')}] `, `"${marker}":`]
   const filler = Array.from({ length: Math.max(0, length - opening.length) }, (_, index) => ` ${pickWord(seed, index)}`)
   const tokens = [...opening, ...filler].slice(0, length)
-  return { text: tokens.join(''), tokens, finishReason: length < naturalLength ? 'length' : 'stop' }
+  return { text: tokens.join(''), tokens, finishReason: length < fullLength ? 'length' : 'stop' }
 }
 
 /**
@@ -76,6 +76,6 @@
   messages.reduce((hash, { role, content }) => hashText(`${role}\n${content}`, hash), 0)
 
 const pickWord = (seed: number, index: number): string => {
-  const mixed = (seed + Math.imul(index + 1, MIXING_STEP)) % HASH_SPACE
+  const mixed = (seed + Math.imul(index + 1, HASH_MULTIPLIER)) % HASH_SPACE
   return WORDS[(mixed >>> 16) % WORDS.length]!
 }
--- a/src/emulator/composeAnswer/test.ts
+++ b/src/emulator/composeAnswer/test.ts
@@ -16,11 +16,11 @@
     expect(composeAnswer(chat('x', 'Is there ravioli?')).text).toContain('"Is there ravioli?"')
   })
 
-  it.each([[1, 'length'], [10, 'length'], [100_000, 'stop']])('with a maximum of %i tokens has the finish reason %s', (room, reason) => {
-    const answer = composeAnswer(chat('a'), room)
+  it.each([[1, 'length'], [10, 'length'], [100_000, 'stop']])('with a maximum of %i tokens has the finish reason %s', (maximumTokens, reason) => {
+    const answer = composeAnswer(chat('a'), maximumTokens)
     expect(answer.finishReason).toBe(reason)
     expect(answer.tokens.join('')).toBe(answer.text)
-    expect(answer.tokens.length).toBeLessThanOrEqual(room)
+    expect(answer.tokens.length).toBeLessThanOrEqual(maximumTokens)
   })
 })
 
--- a/src/emulator/createFaultSwitches/index.ts
+++ b/src/emulator/createFaultSwitches/index.ts
@@ -2,7 +2,7 @@
 import { z } from 'zod'
 
 /** Turns one fault on until it is turned off, or for the next `count` times. */
-export type FaultOrder = {
+export type FaultCommand = {
   readonly fault: string
   readonly on?: boolean | undefined
   readonly count?: number | undefined
@@ -16,7 +16,7 @@
 
 export type FaultSwitches<Name extends string> = {
   /** Sets one fault; returns false when the fault is unknown. */
-  readonly apply: (order: FaultOrder) => boolean
+  readonly apply: (command: FaultCommand) => boolean
   readonly clear: () => void
   /** The setting when the fault is on; a counted fault is not decremented. */
   readonly peek: (fault: Name) => FaultSetting | undefined
@@ -27,7 +27,7 @@
 }
 
 /** The body of `POST /faults`. */
-export const faultOrderSchema = z.object({
+export const faultCommandSchema = z.object({
   fault: z.string(),
   on: z.boolean().optional(),
   count: z.number().int().min(0).optional(),
@@ -51,7 +51,7 @@
   const known = new Set<string>(names)
   const active = new Map<string, FaultSetting>()
   const listeners: (() => void)[] = []
-  const announce = (): void => listeners.forEach((listener) => listener())
+  const notifyListeners = (): void => listeners.forEach((listener) => listener())
 
   return {
     apply: ({ fault, on, count, ms = 0, after = 0 }) => {
@@ -59,12 +59,12 @@
       const remaining = on === false ? 0 : count ?? Infinity
       if (remaining > 0) active.set(fault, { remaining, ms, after })
       else active.delete(fault)
-      announce()
+      notifyListeners()
       return true
     },
     clear: () => {
       active.clear()
-      announce()
+      notifyListeners()
     },
     peek: (fault) => active.get(fault),
     take: (fault) => {
--- a/src/emulator/createKnowledgeFleet/_lib/createKnowledgeSource.ts
+++ b/src/emulator/createInProcessFleet/_lib/createFleetSource.ts
@@ -8,7 +8,7 @@
   BackendInstance, Clock, ConfigurationRecords, ConfigurationSource, GatewayConfiguration, InstanceSource, Result, SourcedConfiguration, SourceError, ZoneDrainChange, ZoneDrainSource
 } from '../../../types/index.js'
 
-export type KnowledgeSource = {
+export type FleetSource = {
   /** Creates the connections of one node to the source. */
   readonly connect: (node: number) => {
     readonly configurationSource: ConfigurationSource
@@ -21,17 +21,17 @@
   readonly beginDrain: (zone: string) => void
   readonly endDrain: (zone: string) => void
   /** The version that was the newest at a time of the clock. */
-  readonly newestAt: (at: number) => number
-  readonly setReached: (node: number, isReached: boolean) => void
+  readonly getNewestVersion: (at: number) => number
+  readonly setReachable: (node: number, isReachable: boolean) => void
   readonly countCalls: () => number
 }
 
 /** Poll interval of a waiting watch, in milliseconds. */
-const WATCH_STEP_MS = 10
+const WATCH_POLL_INTERVAL_MS = 10
 /** Duration of a call, in milliseconds. */
 const SOURCE_DELAY_MS = 4
 /** Time after which a call from a node that cannot reach the source fails, in milliseconds. */
-const UNREACHED_MS = 500
+const UNREACHABLE_TIMEOUT_MS = 500
 
 const createConfiguration = (version: number): GatewayConfiguration => ({
   version,
@@ -44,21 +44,21 @@
 
 type RouteRecord = { readonly name: string, readonly host: string, readonly version: number }
 
-const createRoute = (place: number, version: number): RouteRecord => ({ name: `route-${place}`, host: `${place}.shop.example`, version })
+const createRoute = (index: number, version: number): RouteRecord => ({ name: `route-${index}`, host: `${index}.shop.example`, version })
 
 /** Creates configurations whose unchanged records are the same objects from one version to the next, as those of a real source are. */
-const createSourcing = (routes: number) => {
-  const known = new Map<string, RouteRecord>()
+const createConfigurationCodec = (routes: number) => {
+  const internedRoutes = new Map<string, RouteRecord>()
 
   const intern = (record: RouteRecord): RouteRecord => {
     const key = `${record.name} ${record.version}`
-    const earlier = known.get(key) ?? record
-    known.set(key, earlier)
+    const earlier = internedRoutes.get(key) ?? record
+    internedRoutes.set(key, earlier)
     return earlier
   }
 
   const listRoutes = (version: number): readonly RouteRecord[] =>
-    Array.from({ length: routes }, (_, place) => intern(createRoute(place, place === routes - 1 ? version : 0)))
+    Array.from({ length: routes }, (_, index) => intern(createRoute(index, index === routes - 1 ? version : 0)))
 
   return {
     read: (version: number): SourcedConfiguration => ({ configuration: createConfiguration(version), records: { rest: [version], routes: listRoutes(version) }, revision: version }),
@@ -76,25 +76,25 @@
 type Change<Value> = { readonly revision: number, readonly value: Value }
 
 /** Creates the source; `routes` is the number of routes in each configuration. */
-export const createKnowledgeSource = (clock: Clock, routes: number): KnowledgeSource => {
+export const createFleetSource = (clock: Clock, routes: number): FleetSource => {
   const versions: { readonly at: number, readonly version: number }[] = [{ at: -Infinity, version: 1 }]
   const instances = new Map<string, BackendInstance>()
   const instanceChanges: Change<string>[] = []
   const drained = new Set<string>()
   const drainChanges: Change<ZoneDrainChange>[] = []
-  const unreached = new Set<number>()
+  const unreachableNodes = new Set<number>()
   let revision = 1
   let calls = 0
 
-  const newestAt = (at: number): number => versions.findLast((entry) => entry.at <= at)?.version ?? 0
+  const getNewestVersion = (at: number): number => versions.findLast((entry) => entry.at <= at)?.version ?? 0
 
-  const note = <Value>(changes: Change<Value>[], value: Value): void => {
+  const recordChange = <Value>(changes: Change<Value>[], value: Value): void => {
     revision += 1
     changes.push({ revision, value })
   }
 
-  const failUnreached = async (): Promise<Result<never, SourceError>> => {
-    await wait(clock, UNREACHED_MS)
+  const failAsUnreachable = async (): Promise<Result<never, SourceError>> => {
+    await wait(clock, UNREACHABLE_TIMEOUT_MS)
     return failure({ kind: 'unavailable', message: 'cut off' })
   }
 
@@ -102,7 +102,7 @@
   const call = async <Value>(node: number, read: () => Value): Promise<Result<Value, SourceError>> => {
     calls += 1
     await wait(clock, SOURCE_DELAY_MS / 2)
-    if (unreached.has(node)) return failUnreached()
+    if (unreachableNodes.has(node)) return failAsUnreachable()
     const value = read()
     await wait(clock, SOURCE_DELAY_MS / 2)
     return success(value)
@@ -113,15 +113,15 @@
     const endsAt = clock.now() + waitMs
     calls += 1
     const listNew = (): readonly Value[] => changes.filter((change) => change.revision > since).map(({ value }) => value)
-    while (clock.now() < endsAt && !unreached.has(node) && listNew().length === 0) await wait(clock, WATCH_STEP_MS)
-    return unreached.has(node) ? failUnreached() : success(listNew())
+    while (clock.now() < endsAt && !unreachableNodes.has(node) && listNew().length === 0) await wait(clock, WATCH_POLL_INTERVAL_MS)
+    return unreachableNodes.has(node) ? failAsUnreachable() : success(listNew())
   }
 
   const createConfigurationSource = (node: number): ConfigurationSource => {
-    const sourcing = createSourcing(routes)
+    const codec = createConfigurationCodec(routes)
     return {
-      read: () => call(node, () => sourcing.read(newestAt(clock.now()))),
-      decode: (records, configurationRevision) => success(sourcing.decode(records, configurationRevision))
+      read: () => call(node, () => codec.read(getNewestVersion(clock.now()))),
+      decode: (records, configurationRevision) => success(codec.decode(records, configurationRevision))
     }
   }
 
@@ -152,27 +152,27 @@
       instanceSource: createInstanceSource(node),
       zoneDrainSource: createZoneDrainSource(node)
     }),
-    applyVersion: () => { versions.push({ at: clock.now(), version: newestAt(clock.now()) + 3 }) },
+    applyVersion: () => { versions.push({ at: clock.now(), version: getNewestVersion(clock.now()) + 3 }) },
     putInstance: (id, changes = {}) => {
       instances.set(id, createInstance(id, changes))
-      note(instanceChanges, id)
+      recordChange(instanceChanges, id)
     },
     removeInstance: (id) => {
       instances.delete(id)
-      note(instanceChanges, id)
+      recordChange(instanceChanges, id)
     },
     beginDrain: (zone) => {
       drained.add(zone)
-      note(drainChanges, { zone, isEnded: false })
+      recordChange(drainChanges, { zone, isEnded: false })
     },
     endDrain: (zone) => {
       drained.delete(zone)
-      note(drainChanges, { zone, isEnded: true })
+      recordChange(drainChanges, { zone, isEnded: true })
     },
-    newestAt,
-    setReached: (node, isReached) => {
-      if (isReached) unreached.delete(node)
-      else unreached.add(node)
+    getNewestVersion,
+    setReachable: (node, isReachable) => {
+      if (isReachable) unreachableNodes.delete(node)
+      else unreachableNodes.add(node)
     },
     countCalls: () => calls
   }
--- a/src/emulator/createKnowledgeFleet/index.ts
+++ b/src/emulator/createInProcessFleet/index.ts
@@ -4,7 +4,7 @@
  * the nodes with it in hundreds of interleavings. There are no sockets; peers
  * use the network in memory.
  */
-import { createKnowledgeSource, type KnowledgeSource } from './_lib/createKnowledgeSource.js'
+import { createFleetSource, type FleetSource } from './_lib/createFleetSource.js'
 import { composeGatewaySettings } from '../composeGatewaySettings/index.js'
 import { createManualClock, type ManualClock } from '../createManualClock/index.js'
 import { createMemoryPeerNetwork, type MemoryPeerNetwork, type MemoryPeerTransport } from '../createMemoryPeerNetwork/index.js'
@@ -12,7 +12,7 @@
 import { createGatewayNode, type GatewayNode } from '../../node/createGatewayNode/index.js'
 import type { InstanceClient, Logger, Metrics, PeerAddress } from '../../types/index.js'
 
-export type KnowledgeFleetOptions = {
+export type InProcessFleetOptions = {
   readonly nodesPerZone: number
   readonly zones?: number
   /** Returns a number in [0, 1). */
@@ -21,7 +21,7 @@
   readonly routes?: number
 }
 
-export type KnowledgeFleet = Omit<KnowledgeSource, 'connect'> & {
+export type InProcessFleet = Omit<FleetSource, 'connect'> & {
   readonly clock: ManualClock
   readonly network: MemoryPeerNetwork
   readonly nodes: readonly GatewayNode[]
@@ -44,10 +44,10 @@
 }
 
 /** Creates the fleet; its nodes do not run before `start`. */
-export const createKnowledgeFleet = (options: KnowledgeFleetOptions): KnowledgeFleet => {
+export const createInProcessFleet = (options: InProcessFleetOptions): InProcessFleet => {
   const clock = createManualClock()
   const network = createMemoryPeerNetwork({ clock, delayMs: () => 5 })
-  const source = createKnowledgeSource(clock, options.routes ?? 0)
+  const source = createFleetSource(clock, options.routes ?? 0)
   const transports: MemoryPeerTransport[] = []
 
   const addressOf = (index: number): PeerAddress => ({ host: `node-${String(index).padStart(3, '0')}`, port: 1 })
--- a/src/emulator/createLaggingLoad/index.ts
+++ b/src/emulator/createLaggingLoad/index.ts
@@ -10,7 +10,7 @@
   readonly read: () => LoadFigures & { readonly ageMs: number }
 }
 
-type DatedFigures = LoadFigures & { readonly since: number }
+type TimestampedFigures = LoadFigures & { readonly since: number }
 
 /**
  * Creates a lagging load report.
@@ -23,7 +23,7 @@
  * createLaggingLoad(clock, 500).read() // => { running: 0, waiting: 0, ageMs: 500 }
  */
 export const createLaggingLoad = (clock: Clock, lagMs: number): LaggingLoad => {
-  let past: DatedFigures[] = [{ since: -Infinity, running: 0, waiting: 0 }]
+  let past: TimestampedFigures[] = [{ since: -Infinity, running: 0, waiting: 0 }]
 
   const forgetBefore = (shownAt: number): void => {
     const shown = past.findLastIndex(({ since }) => since <= shownAt)
--- a/src/emulator/createManualClock/index.ts
+++ b/src/emulator/createManualClock/index.ts
@@ -10,12 +10,12 @@
   readonly runUntilIdle: (limitMs: number) => number
 }
 
-const DEFAULT_WALL_TIME = 1_700_000_000_000
+const DEFAULT_WALL_TIME_MS = 1_700_000_000_000
 /** Rounds of the microtask queue after each timer; a longer promise chain continues after the next timer. */
-const PROMISE_ROUNDS = 8
+const MICROTASK_ROUNDS = 8
 
 const settlePromises = async (): Promise<void> => {
-  for (let round = 0; round < PROMISE_ROUNDS; round++) await Promise.resolve()
+  for (let round = 0; round < MICROTASK_ROUNDS; round++) await Promise.resolve()
 }
 
 /** `callback` is undefined once the timer has run or is cancelled. */
@@ -35,7 +35,7 @@
  * clock.setTimer(10, () => console.log('due'))
  * clock.advance(10) // prints "due"
  */
-export const createManualClock = (startAt = DEFAULT_WALL_TIME): ManualClock => {
+export const createManualClock = (startAt = DEFAULT_WALL_TIME_MS): ManualClock => {
   const heap: PendingTimer[] = []
   let now = 0
   let order = 0
@@ -85,9 +85,9 @@
   left.dueAt < right.dueAt || (left.dueAt === right.dueAt && left.order < right.order)
 
 const swap = (heap: PendingTimer[], left: number, right: number): void => {
-  const kept = heap[left]!
+  const previous = heap[left]!
   heap[left] = heap[right]!
-  heap[right] = kept
+  heap[right] = previous
 }
 
 const pushTimer = (heap: PendingTimer[], timer: PendingTimer): void => {
--- a/src/emulator/createMemoryPeerNetwork/index.ts
+++ b/src/emulator/createMemoryPeerNetwork/index.ts
@@ -33,7 +33,7 @@
 
 type Handler = (message: PeerMessage) => PeerReply | Promise<PeerReply>
 
-type Station = { readonly handlers: Map<string, Handler>, readonly count: (kind: string, bytes: number) => void }
+type Endpoint = { readonly handlers: Map<string, Handler>, readonly count: (kind: string, bytes: number) => void }
 
 type Frame = { readonly id?: number, readonly message?: PeerMessage, readonly reply?: PeerReply, readonly problem?: string }
 
@@ -42,8 +42,8 @@
 const FRAME_LENGTH_BYTES = 4
 const DEFAULT_DELAY_MS = 1
 
-const nameOf = (address: PeerAddress): string => `${address.host}:${address.port}`
-const pairOf = (from: PeerAddress, to: PeerAddress): string => `${nameOf(from)}>${nameOf(to)}`
+const formatAddress = (address: PeerAddress): string => `${address.host}:${address.port}`
+const formatLink = (from: PeerAddress, to: PeerAddress): string => `${formatAddress(from)}>${formatAddress(to)}`
 
 /**
  * Creates a network without nodes.
@@ -57,31 +57,31 @@
  */
 export const createMemoryPeerNetwork = (options: MemoryPeerNetworkOptions): MemoryPeerNetwork => {
   const { clock } = options
-  const stations = new Map<string, Station>()
+  const endpoints = new Map<string, Endpoint>()
   const cuts = new Set<string>()
   const codecs = new Map<string, Codec>()
 
-  const codecOf = (pair: string): Codec => {
-    const known = codecs.get(pair)
+  const getCodec = (link: string): Codec => {
+    const known = codecs.get(link)
     if (known !== undefined) return known
     const codec = { encoder: new Encoder({ sequential: true }), decoder: new Encoder({ sequential: true }) }
-    codecs.set(pair, codec)
+    codecs.set(link, codec)
     return codec
   }
 
   const transfer = (from: PeerAddress, to: PeerAddress, kind: string, frame: Frame, deliver: (frame: Frame) => void): void => {
-    const pair = pairOf(from, to)
-    if (cuts.has(pair) || !stations.has(nameOf(to))) return
+    const link = formatLink(from, to)
+    if (cuts.has(link) || !endpoints.has(formatAddress(to))) return
     if (options.isLost?.(from, to, kind) === true) return
-    const codec = codecOf(pair)
+    const codec = getCodec(link)
     const bytes = codec.encoder.encode(frame)
-    stations.get(nameOf(from))?.count(kind, bytes.length + FRAME_LENGTH_BYTES)
+    endpoints.get(formatAddress(from))?.count(kind, bytes.length + FRAME_LENGTH_BYTES)
     const received = codec.decoder.decode(bytes) as Frame
-    clock.setTimer(options.delayMs?.(from, to) ?? DEFAULT_DELAY_MS, () => { if (!cuts.has(pair)) deliver(received) })
+    clock.setTimer(options.delayMs?.(from, to) ?? DEFAULT_DELAY_MS, () => { if (!cuts.has(link)) deliver(received) })
   }
 
   const runHandler = async (to: PeerAddress, message: PeerMessage): Promise<Frame> => {
-    const handler = stations.get(nameOf(to))?.handlers.get(message.kind)
+    const handler = endpoints.get(formatAddress(to))?.handlers.get(message.kind)
     if (handler === undefined) return { problem: 'no handler for this kind of message' }
     try {
       return { reply: await handler(message) }
@@ -92,7 +92,7 @@
 
   const request = (from: PeerAddress, to: PeerAddress, message: PeerMessage, timeoutMs: number): Promise<Result<PeerReply, PeerError>> =>
     new Promise((resolve) => {
-      if (!stations.has(nameOf(to))) return resolve(failure({ kind: 'unreachable', message: 'nothing listens there' }))
+      if (!endpoints.has(formatAddress(to))) return resolve(failure({ kind: 'unreachable', message: 'nothing listens there' }))
       const timer = clock.setTimer(timeoutMs, () => resolve(failure({ kind: 'timeout' })))
       const settle = (frame: Frame): void => {
         timer.cancel()
@@ -112,7 +112,7 @@
       sentBytes.set(kind, (sentBytes.get(kind) ?? 0) + bytes)
       sentMessages += 1
     }
-    stations.set(nameOf(address), { handlers, count })
+    endpoints.set(formatAddress(address), { handlers, count })
     return {
       address: () => address,
       bytesSent: () => sentBytes,
@@ -122,16 +122,16 @@
       },
       request: (to, message, timeoutMs) => request(address, to, message, timeoutMs),
       handle: (kind, handler) => { handlers.set(kind, handler as Handler) },
-      close: async () => { stations.delete(nameOf(address)) }
+      close: async () => { endpoints.delete(formatAddress(address)) }
     }
   }
 
   return {
     createTransport,
-    cut: (one, other) => { cuts.add(pairOf(one, other)).add(pairOf(other, one)) },
+    cut: (one, other) => { cuts.add(formatLink(one, other)).add(formatLink(other, one)) },
     heal: (one, other) => {
-      cuts.delete(pairOf(one, other))
-      cuts.delete(pairOf(other, one))
+      cuts.delete(formatLink(one, other))
+      cuts.delete(formatLink(other, one))
     },
     healAll: () => cuts.clear()
   }
--- a/src/emulator/createMemoryPlatform/index.ts
+++ b/src/emulator/createMemoryPlatform/index.ts
@@ -46,7 +46,7 @@
   const objects = new Map<string, PlatformObject>()
   const watchers = new Set<Watcher>()
   let history: RecordedChange[] = []
-  let forgottenRevision = 0
+  let oldestWatchableRevision = 0
   let revision = 0
   let vms: readonly Vm[] = []
 
@@ -55,7 +55,7 @@
     const change = { name, kind, version: String(revision), revision }
     history.push(change)
     if (history.length > 2 * historyLimit) history = history.slice(-historyLimit)
-    forgottenRevision = Math.max(forgottenRevision, revision - historyLimit)
+    oldestWatchableRevision = Math.max(oldestWatchableRevision, revision - historyLimit)
     for (const watcher of [...watchers]) {
       if (name.startsWith(watcher.prefix)) watcher.notify(change)
     }
@@ -109,7 +109,7 @@
     watchObjects: async (prefix, after, timeoutMs) => {
       // A revision beyond the current one comes from a store that has been
       // replaced. A watch on it would wait for ever and miss all changes up to it.
-      if (after < forgottenRevision || after > revision) return failure({ kind: 'revisionGone' })
+      if (after < oldestWatchableRevision || after > revision) return failure({ kind: 'revisionGone' })
       const missed = changesAfter(prefix, after)
       if (missed.length > 0) return success({ revision, changes: missed })
       return success(await waitForChange(prefix, timeoutMs))
--- a/src/emulator/createModelEngine/_lib/createJob.ts
+++ b/src/emulator/createModelEngine/_lib/createJob.ts
@@ -46,7 +46,7 @@
   readonly graceMs: number
   readonly cancel: () => void
   /** Removes the job from the engine; it cannot be resumed any more. */
-  readonly forget: () => void
+  readonly remove: () => void
 }
 
 /**
@@ -61,25 +61,25 @@
  * const job = createJob(clock, request, dependencies)
  */
 export const createJob = (clock: Clock, request: EngineRequest, dependencies: JobDependencies): RunningJob => {
-  const { answer, record, graceMs, cancel, forget } = dependencies
+  const { answer, record, graceMs, cancel, remove } = dependencies
   const listeners = new Set<JobListener>()
   let emitted = 0
   let outcome: JobOutcome | undefined
   let usage: JobUsage = { promptTokens: 0, cachedTokens: 0 }
   let graceTimer: Timer | undefined
 
-  const announce = (): void => {
+  const notifyListeners = (): void => {
     for (const listener of [...listeners]) listener()
   }
 
-  const endGrace = (): void => {
+  const expireGracePeriod = (): void => {
     cancel()
-    forget()
+    remove()
   }
 
-  const startGrace = (): void => {
+  const startGracePeriod = (): void => {
     graceTimer?.cancel()
-    graceTimer = clock.setTimer(graceMs, endGrace)
+    graceTimer = clock.setTimer(graceMs, expireGracePeriod)
   }
 
   return {
@@ -92,24 +92,24 @@
       listeners.add(listener)
       graceTimer?.cancel()
       return () => {
-        if (listeners.delete(listener) && listeners.size === 0) startGrace()
+        if (listeners.delete(listener) && listeners.size === 0) startGracePeriod()
       }
     },
     cancel,
-    start: (known) => {
-      usage = known
+    start: (prefillUsage) => {
+      usage = prefillUsage
       record.setOutcome('running')
     },
     emitToken: () => {
       emitted += 1
-      announce()
+      notifyListeners()
     },
     isComplete: () => emitted >= answer.tokens.length,
-    finish: (reached) => {
-      outcome = reached
-      record.setOutcome(reached)
-      announce()
-      if (listeners.size === 0) startGrace()
+    finish: (finalOutcome) => {
+      outcome = finalOutcome
+      record.setOutcome(finalOutcome)
+      notifyListeners()
+      if (listeners.size === 0) startGracePeriod()
     }
   }
 }
--- a/src/emulator/createModelEngine/_lib/createPrefixCache.ts
+++ b/src/emulator/createModelEngine/_lib/createPrefixCache.ts
@@ -5,7 +5,7 @@
 
 export type PrefixCache = {
   /** Returns the tokens of the longest cached prefix of the chat and marks it as recently used. */
-  readonly use: (messages: readonly ChatMessage[]) => number
+  readonly matchPrefix: (messages: readonly ChatMessage[]) => number
   /** Caches every prefix of the chat. */
   readonly store: (messages: readonly ChatMessage[]) => void
   /** Tokens in the cache. */
@@ -34,7 +34,7 @@
   }
 
   return {
-    use: (messages) => {
+    matchPrefix: (messages) => {
       const hashes = hashPrefixes(messages)
       const cached = hashes.slice(0, countCached(hashes))
       return cached.reduceRight((sum, hash) => sum + (entries.get(hash) ?? 0), 0)
--- a/src/emulator/createModelEngine/index.ts
+++ b/src/emulator/createModelEngine/index.ts
@@ -84,9 +84,9 @@
   const waiting: Record<EngineRequest['priority'], RunningJob[]> = { interactive: [], overnight: [] }
   const batch = new Set<RunningJob>()
   const decoding = new Set<RunningJob>()
-  const kept = new Map<string, RunningJob>()
+  const jobs = new Map<string, RunningJob>()
   let prefillFreeAt = 0
-  let stepping = false
+  let isStepScheduled = false
   let leaving = false
 
   const countWaiting = (): number => waiting.interactive.length + waiting.overnight.length
@@ -94,15 +94,15 @@
   const recordLoad = (): void => laggingLoad.record(load())
 
   const scheduleStep = (): void => {
-    if (stepping || decoding.size === 0) return
-    stepping = true
+    if (isStepScheduled || decoding.size === 0) return
+    isStepScheduled = true
     const interval = settings.decodeIntervalMs + (decoding.size - 1) * settings.decodeIntervalPerRequestMs
     const members = [...decoding]
     clock.setTimer(interval, () => runStep(members))
   }
 
   const runStep = (members: readonly RunningJob[]): void => {
-    stepping = false
+    isStepScheduled = false
     for (const job of members) {
       if (!decoding.has(job)) continue
       job.emitToken()
@@ -113,11 +113,11 @@
 
   const completeJob = (job: RunningJob): void => {
     cache.store([...job.request.messages, { role: 'assistant', content: job.answer.text }])
-    leaveBatch(job)
+    removeFromBatch(job)
     job.finish('complete')
   }
 
-  const leaveBatch = (job: RunningJob): void => {
+  const removeFromBatch = (job: RunningJob): void => {
     batch.delete(job)
     decoding.delete(job)
     fillSlots()
@@ -134,7 +134,7 @@
 
   const startPrefill = (job: RunningJob): void => {
     batch.add(job)
-    const cachedTokens = cache.use(job.request.messages)
+    const cachedTokens = cache.matchPrefix(job.request.messages)
     const promptTokens = job.request.messages.reduce((sum, { content }) => sum + countTokens(content), 0)
     job.start({ promptTokens, cachedTokens })
     const cost = (promptTokens - cachedTokens) / settings.prefillTokensPerSecond * MILLISECONDS_PER_SECOND
@@ -154,11 +154,11 @@
     const queue = waiting[job.request.priority]
     const index = queue.indexOf(job)
     if (index !== -1) queue.splice(index, 1)
-    leaveBatch(job)
+    removeFromBatch(job)
     job.finish('cancelled')
   }
 
-  const refuse = (): EngineRefusal | undefined => {
+  const checkAdmission = (): EngineRefusal | undefined => {
     if (leaving) return { reason: 'leaving' }
     if (batch.size >= settings.slots && countWaiting() >= settings.maximumWaiting) return { reason: 'overloaded' }
     return undefined
@@ -166,7 +166,7 @@
 
   return {
     submit: (request) => {
-      const refusal = refuse()
+      const refusal = checkAdmission()
       if (refusal !== undefined) return failure(refusal)
       const { requestId, idempotencyKey, clientAccount, path } = request
       const job: RunningJob = createJob(clock, request, {
@@ -174,15 +174,15 @@
         record: journal.add({ requestId, idempotencyKey, clientAccount, path, outcome: 'queued' }),
         graceMs: settings.graceMs,
         cancel: () => cancelJob(job),
-        forget: () => { if (kept.get(requestId) === job) kept.delete(requestId) }
+        remove: () => { if (jobs.get(requestId) === job) jobs.delete(requestId) }
       })
-      kept.set(requestId, job)
+      jobs.set(requestId, job)
       waiting[request.priority].push(job)
       fillSlots()
       recordLoad()
       return success(job)
     },
-    find: (requestId) => kept.get(requestId),
+    find: (requestId) => jobs.get(requestId),
     report: () => ({ ...laggingLoad.read(), slots: settings.slots, leaving }),
     setLeaving: (value) => { leaving = value },
     journal,
--- a/src/emulator/createModelEngine/test.ts
+++ b/src/emulator/createModelEngine/test.ts
@@ -74,12 +74,12 @@
 
   it('evicts the least recently used chat when the cache is full', () => {
     const { clock, submit } = startEngine({ cacheTokens: 250 })
-    const ask = (name: string): number => {
+    const readCachedTokens = (name: string): number => {
       const job = submit(buildRequest(name, { messages: [{ role: 'user', content: name.repeat(400) }], maximumTokens: 1 }))
       clock.runUntilIdle(10_000)
       return job.usage().cachedTokens
     }
-    expect(['a', 'b', 'a', 'c', 'a', 'b'].map(ask)).toEqual([0, 0, 100, 0, 100, 0])
+    expect(['a', 'b', 'a', 'c', 'a', 'b'].map(readCachedTokens)).toEqual([0, 0, 100, 0, 100, 0])
   })
 
   it.each([
--- a/src/emulator/createModelEngineServer/_lib/formatAnswer.ts
+++ b/src/emulator/createModelEngineServer/_lib/formatAnswer.ts
@@ -21,7 +21,7 @@
   }
 }
 
-const completionId = (requestId: string): string => `chatcmpl-${requestId}`
+const formatCompletionId = (requestId: string): string => `chatcmpl-${requestId}`
 
 /**
  * Formats a complete job as one JSON object.
@@ -33,8 +33,8 @@
  * @example
  * formatWhole(job, { requestId: 'r1', model: 'm', includeUsage: true })
  */
-export const formatWhole = (job: EngineJob, { requestId, model }: AnswerFormat): string => JSON.stringify({
-  id: completionId(requestId),
+export const formatCompletion = (job: EngineJob, { requestId, model }: AnswerFormat): string => JSON.stringify({
+  id: formatCompletionId(requestId),
   object: 'chat.completion',
   created: 0,
   model,
@@ -72,7 +72,7 @@
 
 const formatEventData = (job: EngineJob, format: AnswerFormat, number: number): string => {
   const { tokens, finishReason } = job.answer
-  const chunk = { id: completionId(format.requestId), object: 'chat.completion.chunk', created: 0, model: format.model }
+  const chunk = { id: formatCompletionId(format.requestId), object: 'chat.completion.chunk', created: 0, model: format.model }
   if (number <= tokens.length) {
     const role = number === 1 ? { role: 'assistant' } : {}
     return JSON.stringify({ ...chunk, choices: [{ index: 0, delta: { ...role, content: tokens[number - 1] }, finish_reason: null }] })
--- a/src/emulator/createModelEngineServer/test.ts
+++ b/src/emulator/createModelEngineServer/test.ts
@@ -17,13 +17,13 @@
 }
 
 const messages = [{ role: 'user', content: 'Is there ravioli?' }]
-const ROOM = 6
+const MAXIMUM_TOKENS = 6
 
-const ask = (server: ModelEngineServer, body: Readonly<Record<string, unknown>> = {}): Promise<Response> =>
+const sendCompletionRequest = (server: ModelEngineServer, body: Readonly<Record<string, unknown>> = {}): Promise<Response> =>
   fetch(`${server.url}/v1/chat/completions`, {
     method: 'POST',
     headers: { 'content-type': 'application/json', 'x-request-id': 'r1', 'x-client-account': 'kiosk', 'idempotency-key': 'k1' },
-    body: JSON.stringify({ model: 'm', messages, max_tokens: ROOM, ...body })
+    body: JSON.stringify({ model: 'm', messages, max_tokens: MAXIMUM_TOKENS, ...body })
   })
 
 const readUntilBroken = async (response: Response): Promise<{ text: string, broken: boolean }> => {
@@ -36,30 +36,30 @@
   }
 }
 
-const eventIds = (text: string): readonly number[] => [...text.matchAll(/^id: (\d+)$/gm)].map(([, id]) => Number(id))
+const readEventIds = (text: string): readonly number[] => [...text.matchAll(/^id: (\d+)$/gm)].map(([, id]) => Number(id))
 
 const readContent = (text: string): string =>
   [...text.matchAll(/^data: (\{.*)$/gm)].map(([, data]) => JSON.parse(data!).choices[0]?.delta?.content ?? '').join('')
 
 describe('createModelEngineServer', () => {
   it('sends an answer that is not streamed, with usage and the request id', async () => {
-    const response = await ask(await startServer())
+    const response = await sendCompletionRequest(await startServer())
     const body = await response.json() as { readonly choices: unknown, readonly usage: unknown }
     expect(response.headers.get('x-request-id')).toBe('r1')
-    expect(body.choices).toMatchObject([{ message: { content: composeAnswer(messages, ROOM).text }, finish_reason: 'length' }])
-    expect(body.usage).toEqual({ prompt_tokens: 5, completion_tokens: ROOM, total_tokens: 5 + ROOM, prompt_tokens_details: { cached_tokens: 0 } })
+    expect(body.choices).toMatchObject([{ message: { content: composeAnswer(messages, MAXIMUM_TOKENS).text }, finish_reason: 'length' }])
+    expect(body.usage).toEqual({ prompt_tokens: 5, completion_tokens: MAXIMUM_TOKENS, total_tokens: 5 + MAXIMUM_TOKENS, prompt_tokens_details: { cached_tokens: 0 } })
   })
 
   it('streams numbered events up to the end marker', async () => {
-    const { text, broken } = await readUntilBroken(await ask(await startServer(), { stream: true, stream_options: { include_usage: true } }))
-    expect([broken, readContent(text), text.endsWith('data: [DONE]\n\n')]).toEqual([false, composeAnswer(messages, ROOM).text, true])
-    expect(eventIds(text)).toEqual([1, 2, 3, 4, 5, 6, 7, 8, 9])
+    const { text, broken } = await readUntilBroken(await sendCompletionRequest(await startServer(), { stream: true, stream_options: { include_usage: true } }))
+    expect([broken, readContent(text), text.endsWith('data: [DONE]\n\n')]).toEqual([false, composeAnswer(messages, MAXIMUM_TOKENS).text, true])
+    expect(readEventIds(text)).toEqual([1, 2, 3, 4, 5, 6, 7, 8, 9])
     expect(text).toContain('"cached_tokens":0')
   })
 
   it('records the requests that ran in a journal', async () => {
     const server = await startServer()
-    await (await ask(server)).text()
+    await (await sendCompletionRequest(server)).text()
     const journal = await (await fetch(`${server.controlUrl}/journal`)).json()
     expect(journal).toMatchObject({ entries: [{ requestId: 'r1', idempotencyKey: 'k1', clientAccount: 'kiosk', path: '/v1/chat/completions', outcome: 'complete' }] })
   })
@@ -68,15 +68,15 @@
   it('resumes a stream after the last event that the caller received', async () => {
     const server = await startServer()
     server.faults.apply({ fault: 'cutAnswer', count: 1, after: 3 })
-    const first = await readUntilBroken(await ask(server, { stream: true }))
-    const rest = await readUntilBroken(await fetch(`${server.url}/v1/streams/r1?after=${eventIds(first.text).at(-1)}`))
-    expect([first.broken, eventIds(first.text), eventIds(rest.text)]).toEqual([true, [1, 2, 3], [4, 5, 6, 7, 8]])
-    expect(readContent(first.text + rest.text)).toBe(composeAnswer(messages, ROOM).text)
+    const first = await readUntilBroken(await sendCompletionRequest(server, { stream: true }))
+    const rest = await readUntilBroken(await fetch(`${server.url}/v1/streams/r1?after=${readEventIds(first.text).at(-1)}`))
+    expect([first.broken, readEventIds(first.text), readEventIds(rest.text)]).toEqual([true, [1, 2, 3], [4, 5, 6, 7, 8]])
+    expect(readContent(first.text + rest.text)).toBe(composeAnswer(messages, MAXIMUM_TOKENS).text)
   })
 
   it('cancels a stream immediately', async () => {
     const server = await startServer({ decodeIntervalMs: 50 })
-    const reading = ask(server, { stream: true, max_tokens: 200 }).then(readUntilBroken)
+    const reading = sendCompletionRequest(server, { stream: true, max_tokens: 200 }).then(readUntilBroken)
     await expect.poll(() => server.engine.find('r1')?.emitted() ?? 0).toBeGreaterThan(0)
     expect((await fetch(`${server.url}/v1/streams/r1`, { method: 'DELETE' })).status).toBe(204)
     expect((await reading).broken).toBe(true)
@@ -96,7 +96,7 @@
   it.each(['leaving', 'overloaded'])('refuses with x-not-run when %s, and returns the request id', async (fault) => {
     const server = await startServer()
     server.faults.apply({ fault })
-    const response = await ask(server)
+    const response = await sendCompletionRequest(server)
     expect([response.status, response.headers.get('x-not-run'), response.headers.get('x-request-id')]).toEqual([503, fault, 'r1'])
     expect(server.engine.journal.entries()).toEqual([])
   })
@@ -115,7 +115,7 @@
 })
 
 describe('createModelEngineServer with faults', () => {
-  const whole = JSON.stringify
+  const toJson = JSON.stringify
 
   it.each<[string, { after: number }, { ids: readonly number[], broken: boolean, ended: boolean }]>([
     ['cutAnswer', { after: 2 }, { ids: [1, 2], broken: true, ended: false }],
@@ -125,29 +125,29 @@
   ])('applies the fault %s to one stream only', async (fault, { after }, expected) => {
     const server = await startServer()
     server.faults.apply({ fault, count: 1, after, ms: 50 })
-    const { text, broken } = await readUntilBroken(await ask(server, { stream: true }))
-    expect({ ids: eventIds(text), broken, ended: text.endsWith('data: [DONE]\n\n') }).toEqual(expected)
-    expect(eventIds((await readUntilBroken(await ask(server, { stream: true }))).text)).toHaveLength(8)
+    const { text, broken } = await readUntilBroken(await sendCompletionRequest(server, { stream: true }))
+    expect({ ids: readEventIds(text), broken, ended: text.endsWith('data: [DONE]\n\n') }).toEqual(expected)
+    expect(readEventIds((await readUntilBroken(await sendCompletionRequest(server, { stream: true }))).text)).toHaveLength(8)
   })
 
   it.each<[string, number, boolean]>([['cutAnswer', 2, true], ['truncateAnswer', 2, false]])('ends an answer that is not streamed early with the fault %s', async (fault, after, expectedBroken) => {
     const server = await startServer()
     server.faults.apply({ fault, count: 1, after })
-    const { text, broken } = await readUntilBroken(await ask(server))
+    const { text, broken } = await readUntilBroken(await sendCompletionRequest(server))
     expect([broken, text.length]).toEqual([expectedBroken, 32])
   })
 
   it('closes the connection before the first byte when cutAnswer has after 0', async () => {
     const server = await startServer()
     server.faults.apply({ fault: 'cutAnswer', count: 1 })
-    await expect(ask(server, { stream: true })).rejects.toThrow()
+    await expect(sendCompletionRequest(server, { stream: true })).rejects.toThrow()
   })
 
   it('sends nothing more after freezeAnswer, and leaves the connection open', async () => {
     const server = await startServer()
     server.faults.apply({ fault: 'freezeAnswer', count: 1, after: 1 })
-    const reader = (await ask(server, { stream: true })).body!.getReader()
-    expect(eventIds(Buffer.from((await reader.read()).value!).toString())).toEqual([1])
+    const reader = (await sendCompletionRequest(server, { stream: true })).body!.getReader()
+    expect(readEventIds(Buffer.from((await reader.read()).value!).toString())).toEqual([1])
     await expect.poll(() => server.engine.journal.entries()[0]?.outcome).toBe('complete')
     const next = reader.read().then(() => 'more')
     expect(await Promise.race([next, new Promise((resolve) => setTimeout(resolve, 50, 'nothing'))])).toBe('nothing')
@@ -157,25 +157,25 @@
   it('resets the connection after it has read the request, and runs the request', async () => {
     const server = await startServer()
     server.faults.apply({ fault: 'resetAfterRead', count: 1 })
-    await expect(ask(server)).rejects.toThrow()
+    await expect(sendCompletionRequest(server)).rejects.toThrow()
     expect(server.engine.journal.entries()).toHaveLength(1)
   })
 
   it.each([[false], [true]])('sends the answer to another request, streamed: %s', async (stream) => {
     const server = await startServer()
     server.faults.apply({ fault: 'crossedAnswer', count: 1 })
-    const response = await ask(server, { stream })
+    const response = await sendCompletionRequest(server, { stream })
     expect(response.headers.get('x-request-id')).toBe('r1-crossed')
     expect(await response.text()).not.toContain('ravioli')
   })
 
   it('refuses connections, and accepts them again after a request to its control port', async () => {
     const server = await startServer()
-    const post = (body: unknown) => fetch(`${server.controlUrl}/faults`, { method: 'POST', headers: { 'content-type': 'application/json' }, body: whole(body) })
+    const post = (body: unknown) => fetch(`${server.controlUrl}/faults`, { method: 'POST', headers: { 'content-type': 'application/json' }, body: toJson(body) })
     await post({ fault: 'refuseConnections', on: true })
-    await expect(ask(server)).rejects.toThrow()
+    await expect(sendCompletionRequest(server)).rejects.toThrow()
     await post({ fault: 'refuseConnections', on: false })
-    expect((await ask(server)).status).toBe(200)
+    expect((await sendCompletionRequest(server)).status).toBe(200)
     expect(server.engine.journal.entries()).toHaveLength(1)
   })
 
--- a/src/emulator/createPlainServiceServer/index.ts
+++ b/src/emulator/createPlainServiceServer/index.ts
@@ -2,9 +2,9 @@
 import type { FastifyReply, FastifyRequest } from 'fastify'
 import { hashText } from '../../hashing/index.js'
 import type { Clock } from '../../types/index.js'
-import { createAnswerWriter, writeWhole } from '../_lib/createAnswerWriter.js'
+import { createAnswerWriter, writeCompleteAnswer } from '../_lib/createAnswerWriter.js'
 import { createBackendFaults, type BackendFaults } from '../_lib/backendFaults.js'
-import { createBackendFrame, readRequestHeaders, refuseNotRun } from '../_lib/createBackendFrame.js'
+import { createBackendHttpServer, readRequestHeaders, sendNotRunRefusal } from '../_lib/createBackendHttpServer.js'
 import type { EmulatedServer, ListenAddress } from '../_lib/listen.js'
 import { createJournal, type Journal } from '../createJournal/index.js'
 import { createLaggingLoad } from '../createLaggingLoad/index.js'
@@ -29,7 +29,7 @@
 const DEFAULT_DELAY_MS = 5
 const DEFAULT_SLOTS = 256
 const DEFAULT_LOAD_LAG_MS = 250
-const LARGEST_STOCK = 500
+const STOCK_UPPER_BOUND = 500
 
 /**
  * Returns the answer to a stock lookup, which depends on the path alone.
@@ -41,7 +41,7 @@
  * lookUpStock('/stock/ravioli') // => { path: '/stock/ravioli', quantity: ... }
  */
 export const lookUpStock = (path: string): { readonly path: string, readonly quantity: number } =>
-  ({ path, quantity: hashText(path) % LARGEST_STOCK })
+  ({ path, quantity: hashText(path) % STOCK_UPPER_BOUND })
 
 /**
  * Starts an emulated backend server of a plain service.
@@ -62,7 +62,7 @@
   const faults = createBackendFaults()
   const journal = createJournal(clock)
   const load = createLaggingLoad(clock, options.loadLagMs ?? DEFAULT_LOAD_LAG_MS)
-  const frame = createBackendFrame({ clock, faults, journal, report: () => ({ ...load.read(), slots, leaving: false }) })
+  const backend = createBackendHttpServer({ clock, faults, journal, report: () => ({ ...load.read(), slots, leaving: false }) })
   let running = 0
   let orders = 0
 
@@ -71,43 +71,43 @@
     load.record({ running, waiting: 0 })
   }
 
-  const perform = (request: FastifyRequest, requestId: string): ServiceAnswer => {
+  const runRequest = (request: FastifyRequest, requestId: string): ServiceAnswer => {
     if (request.method === 'GET') return { status: 200, body: lookUpStock(request.url) }
     orders += 1
     return { status: 201, body: { order: orders, requestId, path: request.url, received: request.body ?? null } }
   }
 
-  const answerWhenDone = (request: FastifyRequest, reply: FastifyReply): void => {
+  const answerAfterDelay = (request: FastifyRequest, reply: FastifyReply): void => {
     const { requestId, idempotencyKey, clientAccount } = readRequestHeaders(request)
     const record = journal.add({ requestId, idempotencyKey, clientAccount, path: request.url, outcome: 'running' })
-    const reset = faults.take('resetAfterRead') !== undefined
-    const echoed = faults.take('crossedAnswer') === undefined ? requestId : `${requestId}-crossed`
+    const isReset = faults.take('resetAfterRead') !== undefined
+    const answeredRequestId = faults.take('crossedAnswer') === undefined ? requestId : `${requestId}-crossed`
     const writer = createAnswerWriter(reply.raw, faults, clock)
     changeRunning(1)
     reply.hijack()
     clock.setTimer(delayMs, () => {
       changeRunning(-1)
-      const { status, body } = perform(request, echoed)
+      const { status, body } = runRequest(request, answeredRequestId)
       record.setOutcome('complete')
-      if (reset) request.raw.socket.resetAndDestroy()
-      else writeWhole(writer, status, { 'content-type': 'application/json', 'x-request-id': echoed }, JSON.stringify(body))
+      if (isReset) request.raw.socket.resetAndDestroy()
+      else writeCompleteAnswer(writer, status, { 'content-type': 'application/json', 'x-request-id': answeredRequestId }, JSON.stringify(body))
     })
   }
 
-  frame.server.removeAllContentTypeParsers()
-  frame.server.addContentTypeParser('*', { parseAs: 'string' }, (request, body, done) => done(null, parseBody(request, String(body))))
-  frame.server.route({
+  backend.server.removeAllContentTypeParsers()
+  backend.server.addContentTypeParser('*', { parseAs: 'string' }, (request, body, done) => done(null, parseBody(request, String(body))))
+  backend.server.route({
     method: ['GET', 'POST', 'PUT'],
     url: '/*',
     handler: async (request, reply) => {
       const { requestId } = readRequestHeaders(request)
-      if (faults.peek('leaving') !== undefined) return refuseNotRun(reply, requestId, 'leaving')
-      if (running >= slots || faults.take('overloaded') !== undefined) return refuseNotRun(reply, requestId, 'overloaded')
-      answerWhenDone(request, reply)
+      if (faults.peek('leaving') !== undefined) return sendNotRunRefusal(reply, requestId, 'leaving')
+      if (running >= slots || faults.take('overloaded') !== undefined) return sendNotRunRefusal(reply, requestId, 'overloaded')
+      answerAfterDelay(request, reply)
     }
   })
 
-  return { ...await frame.listen(options), faults, journal }
+  return { ...await backend.listen(options), faults, journal }
 }
 
 // The body of an order is recorded unparsed; only the control route reads JSON.
--- a/src/emulator/createPlatformServer/_lib/createLaggingVmList.ts
+++ b/src/emulator/createPlatformServer/_lib/createLaggingVmList.ts
@@ -7,7 +7,7 @@
   readonly read: (lagMs: number) => readonly Vm[]
 }
 
-type DatedList = { readonly since: number, readonly vms: readonly Vm[] }
+type TimestampedList = { readonly since: number, readonly vms: readonly Vm[] }
 
 const MAXIMUM_LISTS = 1000
 
@@ -22,7 +22,7 @@
  * createLaggingVmList(clock, []).read(1000) // => []
  */
 export const createLaggingVmList = (clock: Clock, initial: readonly Vm[]): LaggingVmList => {
-  const lists: DatedList[] = [{ since: -Infinity, vms: initial }]
+  const lists: TimestampedList[] = [{ since: -Infinity, vms: initial }]
   return {
     set: (vms) => {
       lists.push({ since: clock.now(), vms })
--- a/src/emulator/createPlatformServer/index.ts
+++ b/src/emulator/createPlatformServer/index.ts
@@ -59,7 +59,7 @@
   const faults = createFaultSwitches(PLATFORM_FAULTS)
   const vms = createLaggingVmList(clock, options.vms ?? [])
   const counts = new Map<string, number>()
-  const count = (kind: string): void => { counts.set(kind, (counts.get(kind) ?? 0) + 1) }
+  const countCall = (kind: string): void => { counts.set(kind, (counts.get(kind) ?? 0) + 1) }
   const calls = () => Object.fromEntries(counts)
 
   const server = fastify({ bodyLimit: BODY_LIMIT, forceCloseConnections: true, routerOptions: { maxParamLength: 1000 } })
@@ -78,7 +78,7 @@
 
   server.register(async (contract) => {
     contract.addHook('preHandler', async (request, reply) => {
-      count(describeCall(request))
+      countCall(describeCall(request))
       await applyArrivalFaults(faults, clock, reply)
     })
     registerReads(contract, platform, () => vms.read(faults.peek('vmLag')?.ms ?? 0))
@@ -118,11 +118,11 @@
 const sendError = (reply: FastifyReply, error: PlatformError): FastifyReply =>
   reply.code(ERROR_STATUSES[error.kind]).send({ kind: error.kind })
 
-const objectName = (request: FastifyRequest): string => (request.params as { readonly '*': string })['*']
+const readObjectName = (request: FastifyRequest): string => (request.params as { readonly '*': string })['*']
 
 const registerReads = (server: FastifyInstance, platform: MemoryPlatform, readVms: () => readonly Vm[]): void => {
   server.get('/objects/*', async (request, reply) => {
-    const found = await platform.readObject(objectName(request))
+    const found = await platform.readObject(readObjectName(request))
     if (!found.ok) return sendError(reply, found.error)
     if (found.value === undefined) return reply.code(404).send({ kind: 'absent' })
     return reply.header('etag', `"${found.value.version}"`).type('application/octet-stream').send(Buffer.from(found.value.bytes))
@@ -143,7 +143,7 @@
 }
 
 const registerWrites = (server: FastifyInstance, platform: MemoryPlatform, faults: FaultSwitches<PlatformFault>): void => {
-  const answer = (reply: FastifyReply, result: Result<string | undefined, PlatformError>): FastifyReply => {
+  const sendWriteResult = (reply: FastifyReply, result: Result<string | undefined, PlatformError>): FastifyReply => {
     if (!result.ok) return sendError(reply, result.error)
     if (faults.take('loseReplies') !== undefined) {
       reply.hijack()
@@ -155,17 +155,17 @@
   }
 
   server.put('/objects/*', async (request, reply) => {
-    const name = objectName(request)
+    const name = readObjectName(request)
     const bytes = Buffer.isBuffer(request.body) ? request.body : Buffer.alloc(0)
-    if (request.headers['if-none-match'] === '*') return answer(reply, await platform.createObject(name, bytes))
+    if (request.headers['if-none-match'] === '*') return sendWriteResult(reply, await platform.createObject(name, bytes))
     const expected = readCondition(request)
     if (expected === undefined) return reply.code(400).send({ message: 'a write needs If-None-Match: * or If-Match' })
-    return answer(reply, await platform.updateObject(name, bytes, expected))
+    return sendWriteResult(reply, await platform.updateObject(name, bytes, expected))
   })
   server.delete('/objects/*', async (request, reply) => {
     const expected = readCondition(request)
     if (expected === undefined) return reply.code(400).send({ message: 'a delete needs If-Match' })
-    return answer(reply, await platform.deleteObject(objectName(request), expected))
+    return sendWriteResult(reply, await platform.deleteObject(readObjectName(request), expected))
   })
 }
 
--- a/src/load/createLoadRecorder/index.ts
+++ b/src/load/createLoadRecorder/index.ts
@@ -56,7 +56,7 @@
   readonly recordSkipped: () => void
   readonly recordSendingDelay: (delayMs: number) => void
   /** Records that a backend server has begun to answer. */
-  readonly recordServing: (kind: RequestKind, backendServer: string) => void
+  readonly recordAnswerStart: (kind: RequestKind, backendServer: string) => void
   readonly recordResult: (planned: PlannedRequest, sent: SentRequest) => void
   /** Samples the distribution of the open answers over the backend servers. */
   readonly sampleSkew: () => void
@@ -66,7 +66,7 @@
 const MILLISECONDS_PER_SECOND = 1000
 const MICROSECONDS_PER_MILLISECOND = 1000
 const SKEW_SCALE = 1000
-const HIGHEST_MICROSECONDS = 3_600_000_000
+const MAXIMUM_LATENCY_MICROSECONDS = 3_600_000_000
 const SIGNIFICANT_DIGITS = 3
 
 const NO_OUTCOMES: OutcomeSummary = { complete: 0, refusedNotRun: 0, refusedUnknown: 0, broken: 0, wrong: 0 }
@@ -100,11 +100,11 @@
   const recordOutcome = (kind: RequestKind, { outcome, reason }: SentRequest): void => {
     const known = outcomes.get(kind) ?? NO_OUTCOMES
     outcomes.set(kind, { ...known, [outcome]: known[outcome] + 1 })
-    if (reason !== undefined) add(reasons, `${outcome}: ${reason}`, 1)
+    if (reason !== undefined) addToCount(reasons, `${outcome}: ${reason}`, 1)
   }
 
   const recordLatencies = (planned: PlannedRequest, sent: SentRequest): void => {
-    record(isChatKind(planned.kind) ? wholeAnswer : plainCall, sent.wholeMs)
+    record(isChatKind(planned.kind) ? wholeAnswer : plainCall, sent.totalMs)
     if (sent.firstTokenMs !== undefined) record(firstToken, sent.firstTokenMs)
     for (const gap of sent.betweenTokensMs) record(betweenTokens, gap)
   }
@@ -122,12 +122,12 @@
   return {
     recordSkipped: () => { skipped += 1 },
     recordSendingDelay: (delayMs) => record(sendingDelay, delayMs),
-    recordServing: (kind, backendServer) => {
-      add(served, backendServer, 1)
-      if (isChatKind(kind)) add(open, backendServer, 1)
+    recordAnswerStart: (kind, backendServer) => {
+      addToCount(served, backendServer, 1)
+      if (isChatKind(kind)) addToCount(open, backendServer, 1)
     },
     recordResult: (planned, sent) => {
-      if (sent.servedBy !== undefined && isChatKind(planned.kind)) add(open, sent.servedBy, -1)
+      if (sent.servedBy !== undefined && isChatKind(planned.kind)) addToCount(open, sent.servedBy, -1)
       recordOutcome(planned.kind, sent)
       if (sent.outcome !== 'complete') return
       recordLatencies(planned, sent)
@@ -146,9 +146,9 @@
         sent,
         skipped,
         durationMs,
-        requestsPerSecond: perSecond(sent, durationMs),
+        requestsPerSecond: computeRatePerSecond(sent, durationMs),
         completionTokens,
-        tokensPerSecond: perSecond(completionTokens, durationMs),
+        tokensPerSecond: computeRatePerSecond(completionTokens, durationMs),
         outcomes: total,
         outcomesByKind: Object.fromEntries(outcomes),
         reasons: Object.fromEntries(reasons),
@@ -162,9 +162,9 @@
         cache: {
           promptTokens,
           cachedTokens,
-          tokenShare: share(cachedTokens, promptTokens),
+          tokenShare: computeShare(cachedTokens, promptTokens),
           returning,
-          requestShare: share(returningCached, returning)
+          requestShare: computeShare(returningCached, returning)
         },
         backendServers: Object.fromEntries([...served].sort()),
         skew: {
@@ -179,10 +179,10 @@
 }
 
 const createHistogram = (): Histogram =>
-  build({ lowestDiscernibleValue: 1, highestTrackableValue: HIGHEST_MICROSECONDS, numberOfSignificantValueDigits: SIGNIFICANT_DIGITS })
+  build({ lowestDiscernibleValue: 1, highestTrackableValue: MAXIMUM_LATENCY_MICROSECONDS, numberOfSignificantValueDigits: SIGNIFICANT_DIGITS })
 
 const record = (histogram: Histogram, milliseconds: number): void =>
-  histogram.recordValue(Math.min(HIGHEST_MICROSECONDS, Math.max(0, Math.round(milliseconds * MICROSECONDS_PER_MILLISECOND))))
+  histogram.recordValue(Math.min(MAXIMUM_LATENCY_MICROSECONDS, Math.max(0, Math.round(milliseconds * MICROSECONDS_PER_MILLISECOND))))
 
 const summariseLatency = (histogram: Histogram): LatencySummary => {
   // A percentile is the upper bound of its bucket, which may exceed the maximum.
@@ -203,11 +203,11 @@
 const countHistoryTokens = (messages: readonly { readonly content: string }[]): number =>
   messages.slice(0, -1).reduce((sum, { content }) => sum + countTokens(content), 0)
 
-const add = (counts: Map<string, number>, name: string, by: number): void => { counts.set(name, (counts.get(name) ?? 0) + by) }
+const addToCount = (counts: Map<string, number>, name: string, by: number): void => { counts.set(name, (counts.get(name) ?? 0) + by) }
 
-const perSecond = (count: number, durationMs: number): number => durationMs > 0 ? count * MILLISECONDS_PER_SECOND / durationMs : 0
+const computeRatePerSecond = (count: number, durationMs: number): number => durationMs > 0 ? count * MILLISECONDS_PER_SECOND / durationMs : 0
 
-const share = (part: number, whole: number): number => whole === 0 ? 0 : part / whole
+const computeShare = (part: number, whole: number): number => whole === 0 ? 0 : part / whole
 
 const sumOutcomes = (summaries: readonly OutcomeSummary[]): OutcomeSummary =>
   summaries.reduce((left, right) => ({
--- a/src/load/planLoad/_lib/draw.ts
+++ b/src/load/planLoad/_lib/draw.ts
@@ -27,7 +27,7 @@
  * @example
  * drawWhole(random, 1, 6)
  */
-export const drawWhole = (random: RandomSource, smallest: number, largest: number): number =>
+export const drawInteger = (random: RandomSource, smallest: number, largest: number): number =>
   smallest + Math.floor(random.next() * Math.max(1, largest - smallest + 1))
 
 /**
--- a/src/load/planLoad/index.ts
+++ b/src/load/planLoad/index.ts
@@ -7,7 +7,7 @@
 import type { RandomSource } from '../../types/index.js'
 import { createChatPool, type Chat } from './_lib/createChatPool.js'
 import { createWeightedChoice, createZipfChoice } from './_lib/createChoice.js'
-import { composeText, drawExponential, drawWhole } from './_lib/draw.js'
+import { composeText, drawExponential, drawInteger } from './_lib/draw.js'
 
 export type RequestKind = 'chat' | 'overnight' | 'lookup' | 'order'
 
@@ -78,7 +78,7 @@
 
 const MILLISECONDS_PER_SECOND = 1000
 const STOCK_ITEMS = 1000
-const LARGEST_ORDER = 20
+const MAXIMUM_ORDER_PIECES = 20
 
 /**
  * Plans the requests of an open loop, in the order of their times.
@@ -121,9 +121,9 @@
 
   const continueChat = (chat: Chat): { readonly chat: Chat, readonly maximumTokens: number } => {
     const turn = chat.turn + 1
-    const tokens = drawWhole(random, 1, 2 * options.questionTokens)
+    const tokens = drawInteger(random, 1, 2 * options.questionTokens)
     const question = { role: 'user', content: composeText(`${chat.chatId} turn ${turn}:`, tokens) }
-    const maximumTokens = drawWhole(random, 1, 2 * options.answerTokens)
+    const maximumTokens = drawInteger(random, 1, 2 * options.answerTokens)
     return { chat: { ...chat, turn, messages: [...chat.messages, question] }, maximumTokens }
   }
 
@@ -143,14 +143,14 @@
       const { chat, maximumTokens } = continueChat(openChat(account))
       return { kind: 'overnight', atMs, ...chat, model: options.overnightModel, maximumTokens }
     },
-    lookup: (atMs, account) => ({ kind: 'lookup', atMs, account, path: `${options.lookupPath}/item-${drawWhole(random, 1, STOCK_ITEMS)}` }),
+    lookup: (atMs, account) => ({ kind: 'lookup', atMs, account, path: `${options.lookupPath}/item-${drawInteger(random, 1, STOCK_ITEMS)}` }),
     order: (atMs, account) => ({
       kind: 'order',
       atMs,
       account,
       path: options.orderPath,
       idempotencyKey: random.nextId(),
-      body: JSON.stringify({ order: random.nextId(), pieces: drawWhole(random, 1, LARGEST_ORDER) })
+      body: JSON.stringify({ order: random.nextId(), pieces: drawInteger(random, 1, MAXIMUM_ORDER_PIECES) })
     })
   }
 }
--- a/src/load/runLoad/index.ts
+++ b/src/load/runLoad/index.ts
@@ -26,9 +26,9 @@
 
 export type LoadProgress = { readonly elapsedMs: number, readonly summary: LoadSummary, readonly open: number }
 
-const SKEW_SAMPLE_MS = 100
-const PROGRESS_MS = 1000
-const SENDS_IN_ONE_TURN = 16
+const SKEW_SAMPLE_INTERVAL_MS = 100
+const PROGRESS_INTERVAL_MS = 1000
+const SENDS_BETWEEN_YIELDS = 16
 const MAXIMUM_HINTS = 100_000
 
 /**
@@ -64,7 +64,7 @@
   const send = async (planned: PlannedRequest): Promise<void> => {
     const target = { dispatcher, url: routers[sent++ % routers.length]!, key: keys[planned.account % keys.length]! }
     const chatHint = planned.kind === 'chat' ? hints.get(planned.chatId) : undefined
-    const result = await sendPlannedRequest(planned, target, { clock, timeoutMs: options.timeoutMs, chatHint, onServedBy: (backendServer) => recorder.recordServing(planned.kind, backendServer) })
+    const result = await sendPlannedRequest(planned, target, { clock, timeoutMs: options.timeoutMs, chatHint, onServedBy: (backendServer) => recorder.recordAnswerStart(planned.kind, backendServer) })
     keepHint(planned, result.chatHint)
     recorder.recordResult(planned, result)
     options.onResult?.(planned, result)
@@ -77,12 +77,12 @@
     open.add(sending)
   }
 
-  const stopSampling = repeat(clock, SKEW_SAMPLE_MS, recorder.sampleSkew)
-  const stopProgress = repeat(clock, PROGRESS_MS, () => options.onProgress?.({ elapsedMs: elapsed(), summary: recorder.summarise(elapsed()), open: open.size }))
+  const stopSampling = runRepeatedly(clock, SKEW_SAMPLE_INTERVAL_MS, recorder.sampleSkew)
+  const stopProgress = runRepeatedly(clock, PROGRESS_INTERVAL_MS, () => options.onProgress?.({ elapsedMs: elapsed(), summary: recorder.summarise(elapsed()), open: open.size }))
   for (const planned of plan) {
     const aheadMs = planned.atMs - elapsed()
     // Yields regularly also when sending is behind the plan, so that answers are read.
-    if (aheadMs > 0 || started % SENDS_IN_ONE_TURN === 0) await wait(clock, Math.max(0, aheadMs), options.signal)
+    if (aheadMs > 0 || started % SENDS_BETWEEN_YIELDS === 0) await wait(clock, Math.max(0, aheadMs), options.signal)
     if (options.signal?.aborted === true) break
     start(planned)
     started += 1
@@ -105,7 +105,7 @@
     signal?.addEventListener('abort', finish)
   })
 
-const repeat = (clock: Clock, intervalMs: number, action: () => void): () => void => {
+const runRepeatedly = (clock: Clock, intervalMs: number, action: () => void): () => void => {
   let timer = clock.setTimer(intervalMs, run)
   function run (): void {
     action()
--- a/src/load/sendPlannedRequest/_lib/checkAnswer.ts
+++ b/src/load/sendPlannedRequest/_lib/checkAnswer.ts
@@ -4,7 +4,7 @@
 import { lookUpStock } from '../../../emulator/createPlainServiceServer/index.js'
 import type { PlannedRequest } from '../../planLoad/index.js'
 import type { LoadOutcome } from '../index.js'
-import { parseJson, readRefusal, readUsage, type AnswerRead } from './createAnswerReader.js'
+import { parseJson, readRefusal, readUsage, type ReceivedAnswer } from './createAnswerReader.js'
 
 export type AnswerCheck = {
   readonly outcome: LoadOutcome
@@ -16,7 +16,7 @@
 
 type PlannedOf<Kind extends PlannedRequest['kind']> = Extract<PlannedRequest, { readonly kind: Kind }>
 
-const wholeSchema = z.object({
+const completionSchema = z.object({
   choices: z.array(z.object({ message: z.object({ content: z.string() }) })).min(1),
   usage: z.unknown()
 })
@@ -27,34 +27,34 @@
 
 const broken = (reason: string): AnswerCheck => ({ outcome: 'broken', reason })
 
-const judge = (isOwn: boolean): AnswerCheck => isOwn ? COMPLETE : { outcome: 'wrong', reason: 'the answer is not the one to this request' }
+const evaluateMatch = (isOwn: boolean): AnswerCheck => isOwn ? COMPLETE : { outcome: 'wrong', reason: 'the answer is not the one to this request' }
 
-const expectContent = ({ messages, maximumTokens }: PlannedOf<'chat' | 'overnight'>): string => composeAnswer(messages, maximumTokens).text
+const composeExpectedContent = ({ messages, maximumTokens }: PlannedOf<'chat' | 'overnight'>): string => composeAnswer(messages, maximumTokens).text
 
-const checkStream = (planned: PlannedOf<'chat' | 'overnight'>, read: AnswerRead): AnswerCheck =>
-  read.hasEndMarker ? judge(read.content === expectContent(planned)) : broken('no end marker')
+const checkStream = (planned: PlannedOf<'chat' | 'overnight'>, read: ReceivedAnswer): AnswerCheck =>
+  read.hasEndMarker ? evaluateMatch(read.content === composeExpectedContent(planned)) : broken('no end marker')
 
-const checkWhole = (planned: PlannedOf<'chat' | 'overnight'>, read: AnswerRead): AnswerCheck => {
-  const answer = wholeSchema.safeParse(parseJson(read.body))
+const checkCompletion = (planned: PlannedOf<'chat' | 'overnight'>, read: ReceivedAnswer): AnswerCheck => {
+  const answer = completionSchema.safeParse(parseJson(read.body))
   if (!answer.success) return broken('not a whole answer')
-  return { ...judge(answer.data.choices[0]!.message.content === expectContent(planned)), ...readUsage(answer.data.usage) }
+  return { ...evaluateMatch(answer.data.choices[0]!.message.content === composeExpectedContent(planned)), ...readUsage(answer.data.usage) }
 }
 
-const checkStock = (planned: PlannedOf<'lookup'>, read: AnswerRead): AnswerCheck => {
+const checkStock = (planned: PlannedOf<'lookup'>, read: ReceivedAnswer): AnswerCheck => {
   const answer = stockSchema.safeParse(parseJson(read.body))
   if (!answer.success) return broken('not a whole answer')
   const expected = lookUpStock(planned.path)
-  return judge(answer.data.path === expected.path && answer.data.quantity === expected.quantity)
+  return evaluateMatch(answer.data.path === expected.path && answer.data.quantity === expected.quantity)
 }
 
-const checkOrder = (planned: PlannedOf<'order'>, read: AnswerRead): AnswerCheck => {
+const checkOrder = (planned: PlannedOf<'order'>, read: ReceivedAnswer): AnswerCheck => {
   const answer = orderSchema.safeParse(parseJson(read.body))
-  return answer.success ? judge(answer.data.received === planned.body) : broken('not a whole answer')
+  return answer.success ? evaluateMatch(answer.data.received === planned.body) : broken('not a whole answer')
 }
 
-const CHECKS: { readonly [Kind in PlannedRequest['kind']]: (planned: PlannedOf<Kind>, read: AnswerRead) => AnswerCheck } = {
+const CHECKS: { readonly [Kind in PlannedRequest['kind']]: (planned: PlannedOf<Kind>, read: ReceivedAnswer) => AnswerCheck } = {
   chat: checkStream,
-  overnight: checkWhole,
+  overnight: checkCompletion,
   lookup: checkStock,
   order: checkOrder
 }
@@ -72,9 +72,9 @@
  * @example
  * checkAnswer(planned, 200, reader.read()).outcome
  */
-export const checkAnswer = (planned: PlannedRequest, status: number, read: AnswerRead): AnswerCheck => {
+export const checkAnswer = (planned: PlannedRequest, status: number, read: ReceivedAnswer): AnswerCheck => {
   if (read.refusal !== undefined) return read.refusal
   if (!isSuccessStatus(status)) return readRefusal(parseJson(read.body)) ?? broken(`status ${status} without an outcome`)
-  const check = CHECKS[planned.kind] as (planned: PlannedRequest, read: AnswerRead) => AnswerCheck
+  const check = CHECKS[planned.kind] as (planned: PlannedRequest, read: ReceivedAnswer) => AnswerCheck
   return check(planned, read)
 }
--- a/src/load/sendPlannedRequest/_lib/createAnswerReader.ts
+++ b/src/load/sendPlannedRequest/_lib/createAnswerReader.ts
@@ -3,17 +3,17 @@
 import { z } from 'zod'
 import type { Clock } from '../../../types/index.js'
 
-export type ReadRefusal = { readonly outcome: 'refusedNotRun' | 'refusedUnknown', readonly reason: string }
+export type ReceivedRefusal = { readonly outcome: 'refusedNotRun' | 'refusedUnknown', readonly reason: string }
 
 export type AnswerUsage = { readonly promptTokens: number, readonly cachedTokens: number, readonly completionTokens: number }
 
-export type AnswerRead = {
+export type ReceivedAnswer = {
   /** The body as received. */
   readonly body: string
   /** Text of the events of a stream, joined. */
   readonly content: string
   readonly hasEndMarker: boolean
-  readonly refusal?: ReadRefusal
+  readonly refusal?: ReceivedRefusal
   readonly firstTokenMs?: number
   readonly betweenTokensMs: readonly number[]
   readonly promptTokens?: number
@@ -23,7 +23,7 @@
 
 export type AnswerReader = {
   readonly add: (chunk: Buffer) => void
-  readonly read: () => AnswerRead
+  readonly read: () => ReceivedAnswer
 }
 
 const END_MARKER = '[DONE]'
@@ -50,7 +50,7 @@
  * @example
  * readRefusal({ error: { code: 'deadline', outcome: 'not-run' } }) // => { outcome: 'refusedNotRun', reason: 'deadline' }
  */
-export const readRefusal = (parsed: unknown): ReadRefusal | undefined => {
+export const readRefusal = (parsed: unknown): ReceivedRefusal | undefined => {
   const refusal = refusalSchema.safeParse(parsed)
   if (!refusal.success) return undefined
   const { code, outcome } = refusal.data.error
@@ -90,7 +90,7 @@
   const betweenTokensMs: number[] = []
   let content = ''
   let hasEndMarker = false
-  let refusal: ReadRefusal | undefined
+  let refusal: ReceivedRefusal | undefined
   let usage: AnswerUsage | undefined
   let firstTokenMs: number | undefined
   let lastTokenAt = startedAt
--- a/src/load/sendPlannedRequest/index.ts
+++ b/src/load/sendPlannedRequest/index.ts
@@ -3,7 +3,7 @@
 import type { Clock } from '../../types/index.js'
 import type { PlannedRequest } from '../planLoad/index.js'
 import { checkAnswer, type AnswerCheck } from './_lib/checkAnswer.js'
-import { createAnswerReader, type AnswerRead } from './_lib/createAnswerReader.js'
+import { createAnswerReader, type ReceivedAnswer } from './_lib/createAnswerReader.js'
 
 /** Outcome of a request as the caller sees it. Only `complete` is a success. */
 export type LoadOutcome =
@@ -30,7 +30,7 @@
   /** Time from sending the request to the first token, in milliseconds; streams only. */
   readonly firstTokenMs?: number
   readonly betweenTokensMs: readonly number[]
-  readonly wholeMs: number
+  readonly totalMs: number
   readonly promptTokens?: number
   readonly cachedTokens?: number
   readonly completionTokens?: number
@@ -50,7 +50,7 @@
   readonly onServedBy?: (backendServer: string) => void
 }
 
-type AnswerLabels = Pick<SentRequest, 'requestId' | 'servedBy' | 'chatHint'>
+type AnswerHeaders = Pick<SentRequest, 'requestId' | 'servedBy' | 'chatHint'>
 
 type WireRequest = { readonly method: 'GET' | 'POST', readonly path: string, readonly headers: Readonly<Record<string, string>>, readonly body: string | null }
 
@@ -74,8 +74,8 @@
 export const sendPlannedRequest = async (planned: PlannedRequest, target: LoadTarget, options: SendOptions): Promise<SentRequest> => {
   const startedAt = options.clock.now()
   const reader = createAnswerReader(options.clock, startedAt)
-  let headers: AnswerLabels = {}
-  const finish = (check: AnswerCheck): SentRequest => ({ ...headers, ...describeTimes(reader.read(), options.clock.now() - startedAt), ...check })
+  let headers: AnswerHeaders = {}
+  const finish = (check: AnswerCheck): SentRequest => ({ ...headers, ...buildMeasurements(reader.read(), options.clock.now() - startedAt), ...check })
 
   try {
     const response = await target.dispatcher.request({
@@ -85,7 +85,7 @@
       headersTimeout: 0,
       bodyTimeout: 0
     })
-    headers = readLabels(response.headers)
+    headers = readAnswerHeaders(response.headers)
     if (headers.servedBy !== undefined) options.onServedBy?.(headers.servedBy)
     for await (const chunk of response.body) reader.add(chunk as Buffer)
     return finish(checkAnswer(planned, response.statusCode, reader.read()))
@@ -113,7 +113,7 @@
   }
 }
 
-const readLabels = (headers: Readonly<Record<string, string | string[] | undefined>>): AnswerLabels => {
+const readAnswerHeaders = (headers: Readonly<Record<string, string | string[] | undefined>>): AnswerHeaders => {
   const { 'x-request-id': requestId, 'x-served-by': servedBy, 'x-chat-hint': chatHint } = headers
   return {
     ...typeof requestId === 'string' ? { requestId } : {},
@@ -122,8 +122,8 @@
   }
 }
 
-const describeTimes = (read: AnswerRead, wholeMs: number): Omit<SentRequest, 'outcome'> => ({
-  wholeMs,
+const buildMeasurements = (read: ReceivedAnswer, totalMs: number): Omit<SentRequest, 'outcome'> => ({
+  totalMs,
   betweenTokensMs: read.betweenTokensMs,
   ...read.firstTokenMs === undefined ? {} : { firstTokenMs: read.firstTokenMs },
   ...read.promptTokens === undefined ? {} : { promptTokens: read.promptTokens },
--- a/test/engineFaults.test.ts
+++ b/test/engineFaults.test.ts
@@ -3,7 +3,7 @@
 import { composeAnswer } from '../src/emulator/composeAnswer/index.js'
 import { createModelEngineServer, type ModelEngineServer } from '../src/emulator/createModelEngineServer/index.js'
 import { createPlainServiceServer } from '../src/emulator/createPlainServiceServer/index.js'
-import type { FaultOrder } from '../src/emulator/createFaultSwitches/index.js'
+import type { FaultCommand } from '../src/emulator/createFaultSwitches/index.js'
 import { CALLER_KEY, createDispatchHarness, MODEL, type DispatchHarness } from './_lib/createDispatchHarness.js'
 
 const CHATS = 12
@@ -54,7 +54,7 @@
    * Each must get the whole answer to its own question or a plain error, never
    * a part of it and never somebody else's.
    */
-  it.each<[FaultOrder, boolean, 'all' | 'none']>([
+  it.each<[FaultCommand, boolean, 'all' | 'none']>([
     [{ fault: 'refuseConnections' }, true, 'all'],
     [{ fault: 'resetAfterRead', count: 5 }, true, 'all'],
     [{ fault: 'resetAfterRead', count: 5 }, false, 'all'],
@@ -87,7 +87,7 @@
    * A refusal says "not run", the kitchen orders by telephone, and the van
    * brings the pasta twice.
    */
-  it.each<[FaultOrder]>([
+  it.each<[FaultCommand]>([
     [{ fault: 'refuseConnections' }],
     [{ fault: 'resetAfterRead', count: 5 }],
     [{ fault: 'crossedAnswer', count: 5 }],
--- a/test/integration/loadUnderFaults.test.ts
+++ b/test/integration/loadUnderFaults.test.ts
@@ -3,7 +3,7 @@
 import { createSeededRandom } from '../../src/adapters/seededRandom/index.js'
 import { createSystemClock } from '../../src/adapters/systemClock/index.js'
 import type { JournalEntry } from '../../src/emulator/createJournal/index.js'
-import type { FaultOrder } from '../../src/emulator/createFaultSwitches/index.js'
+import type { FaultCommand } from '../../src/emulator/createFaultSwitches/index.js'
 import { computeSha256 } from '../../src/kernel/index.js'
 import type { LoadSummary } from '../../src/load/createLoadRecorder/index.js'
 import { DEFAULT_LOAD_PLAN, planLoad, type PlannedRequest } from '../../src/load/planLoad/index.js'
@@ -57,7 +57,7 @@
   }
 }
 
-const orderFault = async (server: RunningProcess, order: FaultOrder): Promise<void> => {
+const orderFault = async (server: RunningProcess, order: FaultCommand): Promise<void> => {
   await fetch(`${read(server, 'control')}/faults`, { method: 'POST', headers: { 'content-type': 'application/json' }, body: JSON.stringify(order) })
 }
 
@@ -71,7 +71,7 @@
   await vi.waitUntil(isReady, { timeout: 60_000 })
 }
 
-const ENGINE_FAULTS: readonly FaultOrder[] = [
+const ENGINE_FAULTS: readonly FaultCommand[] = [
   { fault: 'cutAnswer', count: 6, after: 3 },
   { fault: 'truncateAnswer', count: 6, after: 2 },
   { fault: 'duplicateEvent', count: 6, after: 2 },
@@ -80,7 +80,7 @@
   { fault: 'overloaded', count: 6 }
 ]
 
-const SERVICE_FAULTS: readonly FaultOrder[] = [
+const SERVICE_FAULTS: readonly FaultCommand[] = [
   { fault: 'cutAnswer', count: 4, after: 1 },
   { fault: 'crossedAnswer', count: 4 },
   { fault: 'resetAfterRead', count: 4 },
--- a/test/platform/largeFleet.test.ts
+++ b/test/platform/largeFleet.test.ts
@@ -1,16 +1,16 @@
 /** What the nodes of a fleet too large for everybody to talk to everybody know of each other, and of each other's requests. */
 import { afterEach, describe, expect, test } from 'vitest'
 import { createSeededRandom } from '../../src/adapters/seededRandom/index.js'
-import { createKnowledgeFleet, type KnowledgeFleet, type KnowledgeFleetOptions } from '../../src/emulator/createKnowledgeFleet/index.js'
+import { createInProcessFleet, type InProcessFleet, type InProcessFleetOptions } from '../../src/emulator/createInProcessFleet/index.js'
 
 const KEYS = ['engine-1@1', 'engine-2@1']
 /** Two sums and the way of each. */
 const KNOWN_MS = 1_300
 
-const fleets: KnowledgeFleet[] = []
+const fleets: InProcessFleet[] = []
 
-const start = async (options: Omit<KnowledgeFleetOptions, 'random'> = { nodesPerZone: 8, zones: 2 }, random: () => number = () => 0.5): Promise<KnowledgeFleet> => {
-  const fleet = createKnowledgeFleet({ ...options, random })
+const start = async (options: Omit<InProcessFleetOptions, 'random'> = { nodesPerZone: 8, zones: 2 }, random: () => number = () => 0.5): Promise<InProcessFleet> => {
+  const fleet = createInProcessFleet({ ...options, random })
   fleets.push(fleet)
   fleet.putInstance('engine-1', { availabilityZone: 'zone-0' })
   fleet.putInstance('engine-2', { availabilityZone: 'zone-1' })
@@ -21,11 +21,11 @@
 
 afterEach(async () => { for (const fleet of fleets.splice(0)) await fleet.stop() })
 
-const startRequests = (fleet: KnowledgeFleet): void => {
+const startRequests = (fleet: InProcessFleet): void => {
   for (const node of fleet.nodes) for (const key of KEYS) node.resolve('loadView').recordStart(key)
 }
 
-const readLoads = (fleet: KnowledgeFleet): ReadonlySet<number> =>
+const readLoads = (fleet: InProcessFleet): ReadonlySet<number> =>
   new Set(fleet.nodes.flatMap((node) => KEYS.map((key) => node.resolve('loadView').estimateInFlight(key))))
 
 test('each node counts the requests of all nodes, its own once', async () => {
@@ -65,7 +65,7 @@
   const SIZE = { nodesPerZone: 25, zones: 3 }
   const RESTARTED = [5, 12, 20, 33, 41, 50, 58, 66, 70, 74]
 
-  const countLive = (fleet: KnowledgeFleet): readonly number[] =>
+  const countLive = (fleet: InProcessFleet): readonly number[] =>
     [...new Set(fleet.nodes.map((node) => node.resolve('membership').liveMembers().length))]
 
   // Routers whose views differed suspected those that rightly sent their heartbeats to others; rumours and refutations kept the views apart for half a minute.
--- a/test/platform/readers.test.ts
+++ b/test/platform/readers.test.ts
@@ -1,12 +1,12 @@
 /** Few nodes of a zone read the source; what the others believe, and how soon, by interleavings on a manual clock. */
 import { afterEach, describe, expect, test } from 'vitest'
 import { createSeededRandom } from '../../src/adapters/seededRandom/index.js'
-import { createKnowledgeFleet, type KnowledgeFleet, type KnowledgeFleetOptions } from '../../src/emulator/createKnowledgeFleet/index.js'
+import { createInProcessFleet, type InProcessFleet, type InProcessFleetOptions } from '../../src/emulator/createInProcessFleet/index.js'
 
-const fleets: KnowledgeFleet[] = []
+const fleets: InProcessFleet[] = []
 
-const start = async (options: Omit<KnowledgeFleetOptions, 'random'>, seed = 1): Promise<KnowledgeFleet> => {
-  const fleet = createKnowledgeFleet({ ...options, random: createSeededRandom(seed).next })
+const start = async (options: Omit<InProcessFleetOptions, 'random'>, seed = 1): Promise<InProcessFleet> => {
+  const fleet = createInProcessFleet({ ...options, random: createSeededRandom(seed).next })
   fleets.push(fleet)
   fleet.putInstance('engine-1')
   fleet.putInstance('engine-2')
@@ -17,9 +17,9 @@
 
 afterEach(async () => { for (const fleet of fleets.splice(0)) await fleet.stop() })
 
-const readVersions = (fleet: KnowledgeFleet): readonly number[] => fleet.nodes.map((node) => node.resolve('gatewayConfiguration').version())
+const readVersions = (fleet: InProcessFleet): readonly number[] => fleet.nodes.map((node) => node.resolve('gatewayConfiguration').version())
 
-const readServers = (fleet: KnowledgeFleet): readonly string[] =>
+const readServers = (fleet: InProcessFleet): readonly string[] =>
   fleet.nodes.map((node) => node.resolve('instanceRegistry').list('engines').map(({ id, incarnation }) => `${id}@${incarnation}`).sort().join())
 
 const measureCalls = async (nodesPerZone: number): Promise<number> => {
@@ -43,7 +43,7 @@
 // Nodes that all try as often as readers would meet the store's return with hundreds of calls.
 test('an outage of the source does not multiply the calls', async () => {
   const fleet = await start({ nodesPerZone: 24 })
-  for (let node = 0; node < 24; node++) fleet.setReached(node, false)
+  for (let node = 0; node < 24; node++) fleet.setReachable(node, false)
   const before = fleet.countCalls()
   await fleet.clock.advanceAndSettle(10_000)
   expect(fleet.countCalls() - before).toBeLessThan(500)
@@ -54,7 +54,7 @@
     const fleet = await start({ nodesPerZone: 12 })
     fleet.applyVersion()
     await fleet.clock.advanceAndSettle(1_000)
-    expect(new Set(readVersions(fleet))).toEqual(new Set([fleet.newestAt(fleet.clock.now())]))
+    expect(new Set(readVersions(fleet))).toEqual(new Set([fleet.getNewestVersion(fleet.clock.now())]))
   })
 
   test('has a server\'s leaving mark within a quarter of a second', async () => {
@@ -67,8 +67,8 @@
   // A zone whose readers lost the store would send requests to a server that has ended.
   test('reads for itself when both readers lose the source', async () => {
     const fleet = await start({ nodesPerZone: 6 })
-    fleet.setReached(0, false)
-    fleet.setReached(1, false)
+    fleet.setReachable(0, false)
+    fleet.setReachable(1, false)
     fleet.removeInstance('engine-2')
     await fleet.clock.advanceAndSettle(2_000)
     expect(readServers(fleet).slice(2)).toEqual(Array(4).fill('engine-1@1'))
@@ -78,7 +78,7 @@
   test('reads for itself when both readers fall silent', async () => {
     const fleet = await start({ nodesPerZone: 6 })
     for (const reader of [0, 1]) {
-      fleet.setReached(reader, false)
+      fleet.setReachable(reader, false)
       for (let other = 0; other < 6; other++) if (other !== reader) fleet.network.cut(fleet.addressOf(reader), fleet.addressOf(other))
     }
     fleet.applyVersion()
@@ -91,9 +91,9 @@
   // The only reader of a zone falls silent, and its nodes would learn nothing until it is held dead.
   test('learns from the next zone when its own reader falls silent', async () => {
     const fleet = await start({ nodesPerZone: 4, zones: 2 })
-    fleet.setReached(0, false)
+    fleet.setReachable(0, false)
     for (let other = 1; other < 8; other++) fleet.network.cut(fleet.addressOf(0), fleet.addressOf(other))
-    for (const node of [2, 4, 6]) fleet.setReached(node, false)
+    for (const node of [2, 4, 6]) fleet.setReachable(node, false)
     fleet.applyVersion()
     fleet.putInstance('engine-2', { isLeaving: true })
     await fleet.clock.advanceAndSettle(1_300)
@@ -104,10 +104,10 @@
   // An entry that lapsed in an outage only the readers saw would be dropped before its server registers again.
   test('keeps a server whose entry lapsed in an outage', async () => {
     const fleet = await start({ nodesPerZone: 6 })
-    for (let node = 0; node < 6; node++) fleet.setReached(node, false)
+    for (let node = 0; node < 6; node++) fleet.setReachable(node, false)
     await fleet.clock.advanceAndSettle(4_000)
     fleet.removeInstance('engine-2')
-    for (let node = 0; node < 6; node++) fleet.setReached(node, true)
+    for (let node = 0; node < 6; node++) fleet.setReachable(node, true)
     const seen = new Set<string>()
     for (let step = 0; step < 10; step++) {
       await fleet.clock.advanceAndSettle(150)
@@ -121,7 +121,7 @@
 })
 
 describe('a drain of a zone', () => {
-  const listSending = (fleet: KnowledgeFleet): readonly number[] =>
+  const listSending = (fleet: InProcessFleet): readonly number[] =>
     fleet.nodes.flatMap((node, index) => node.resolve('zoneDrains').isDrained('zone-0') ? [] : [index])
 
   test('is known everywhere within a quarter of a second', async () => {
@@ -137,7 +137,7 @@
   // The store turns a third of the nodes away, a zone's reader among them; these would send where nothing may be sent.
   test('reaches the nodes that the source turns away', async () => {
     const fleet = await start({ nodesPerZone: 8, zones: 3 })
-    for (let node = 0; node < 8; node++) fleet.setReached(node, false)
+    for (let node = 0; node < 8; node++) fleet.setReachable(node, false)
     await fleet.clock.advanceAndSettle(1_000)
     fleet.beginDrain('zone-0')
     await fleet.clock.advanceAndSettle(2_000)
@@ -162,7 +162,7 @@
     const fleet = await start({ nodesPerZone: 4, zones: 3 })
     const isInCutZone = (index: number): boolean => index % 3 === 2
     for (let one = 0; one < 12; one++) {
-      if (isInCutZone(one)) fleet.setReached(one, false)
+      if (isInCutZone(one)) fleet.setReachable(one, false)
       for (let other = 0; other < 12; other++) if (isInCutZone(one) && !isInCutZone(other)) fleet.network.cut(fleet.addressOf(one), fleet.addressOf(other))
     }
     fleet.beginDrain('zone-1')
@@ -171,7 +171,7 @@
     fleet.beginDrain('zone-0')
     await fleet.clock.advanceAndSettle(3_000)
     fleet.network.healAll()
-    for (let node = 0; node < 12; node++) fleet.setReached(node, true)
+    for (let node = 0; node < 12; node++) fleet.setReachable(node, true)
     await fleet.clock.advanceAndSettle(3_000)
     expect(listSending(fleet)).toEqual([])
     expect(fleet.nodes.map((node) => node.resolve('zoneDrains').isDrained('zone-1'))).toEqual(Array(12).fill(false))
@@ -184,7 +184,7 @@
   /** A version costs a node about what changed in it, whatever the number of routes. */
   const MOST_BYTES_A_VERSION = 2_048
 
-  const sumKnowledgeBytes = (fleet: KnowledgeFleet): number =>
+  const sumKnowledgeBytes = (fleet: InProcessFleet): number =>
     fleet.transports.reduce((sum, transport) => sum + (transport.bytesSent().get('knowledgeRequestReply') ?? 0), 0)
 
   // Each version went to every node whole: the reader's link was full for seconds, and nodes served by versions long replaced.
@@ -197,12 +197,12 @@
       await fleet.clock.advanceAndSettle(VERSION_GAP_MS)
     }
     await fleet.clock.advanceAndSettle(1_000 - VERSION_GAP_MS)
-    expect(new Set(readVersions(fleet))).toEqual(new Set([fleet.newestAt(fleet.clock.now())]))
+    expect(new Set(readVersions(fleet))).toEqual(new Set([fleet.getNewestVersion(fleet.clock.now())]))
     expect((sumKnowledgeBytes(fleet) - before) / fleet.nodes.length / STORM_VERSIONS).toBeLessThan(MOST_BYTES_A_VERSION)
   })
 })
 
-const isConfirmedOrGivenUp = async (fleet: KnowledgeFleet): Promise<boolean> => {
+const isConfirmedOrGivenUp = async (fleet: InProcessFleet): Promise<boolean> => {
   let isOver = false
   fleet.nodes[0]!.resolve('gatewayConfiguration').confirm(400).then(() => { isOver = true })
   await fleet.clock.advanceAndSettle(1)
@@ -213,7 +213,7 @@
 describe('a request whose key needs proof', () => {
   test('does not wait for a source that is known to be away', async () => {
     const fleet = await start({ nodesPerZone: 2 })
-    for (const node of [0, 1]) fleet.setReached(node, false)
+    for (const node of [0, 1]) fleet.setReachable(node, false)
     await fleet.clock.advanceAndSettle(5_000)
     expect(await isConfirmedOrGivenUp(fleet)).toBe(true)
   })
@@ -224,14 +224,14 @@
   })
 })
 
-type Trouble = (fleet: KnowledgeFleet, pick: (count: number) => number) => void
+type Trouble = (fleet: InProcessFleet, pick: (count: number) => number) => void
 
 const TROUBLES: readonly Trouble[] = [
   (fleet) => fleet.applyVersion(),
   (fleet, pick) => fleet.putInstance(`engine-${pick(5)}`, { incarnation: pick(4) + 1, isLeaving: pick(3) === 0 }),
   (fleet, pick) => fleet.removeInstance(`engine-${pick(5)}`),
-  (fleet, pick) => fleet.setReached(pick(fleet.nodes.length), false),
-  (fleet, pick) => fleet.setReached(pick(fleet.nodes.length), true),
+  (fleet, pick) => fleet.setReachable(pick(fleet.nodes.length), false),
+  (fleet, pick) => fleet.setReachable(pick(fleet.nodes.length), true),
   (fleet, pick) => {
     const [one, other] = [pick(fleet.nodes.length), pick(fleet.nodes.length)]
     if (one !== other) fleet.network.cut(fleet.addressOf(one), fleet.addressOf(other))
@@ -256,15 +256,15 @@
       fleet.nodes.forEach((node, index) => {
         const holder = node.resolve('gatewayConfiguration')
         expect(holder.version()).toBeGreaterThanOrEqual(highest[index]!)
-        expect(fleet.newestAt(fleet.clock.now() - holder.confirmedAgeMs())).toBeLessThanOrEqual(holder.version())
+        expect(fleet.getNewestVersion(fleet.clock.now() - holder.confirmedAgeMs())).toBeLessThanOrEqual(holder.version())
         highest[index] = holder.version()
       })
     }
     fleet.network.healAll()
-    for (let node = 0; node < fleet.nodes.length; node++) fleet.setReached(node, true)
+    for (let node = 0; node < fleet.nodes.length; node++) fleet.setReachable(node, true)
     fleet.putInstance('engine-9')
     await fleet.clock.advanceAndSettle(8_000)
-    expect(new Set(readVersions(fleet))).toEqual(new Set([fleet.newestAt(fleet.clock.now())]))
+    expect(new Set(readVersions(fleet))).toEqual(new Set([fleet.getNewestVersion(fleet.clock.now())]))
     expect(new Set(readServers(fleet)).size).toBe(1)
   })
 })
