--- a/src/emulator/_lib/backendFaults.ts
+++ b/src/emulator/_lib/backendFaults.ts
@@ -37,7 +37,7 @@
  * @returns Whether new connections are reset.
  *
  * @example
- * isDown(createBackendFaults(), clock) // => false
+ * isRefusingConnections(createBackendFaults(), clock) // => false
  */
 export const isRefusingConnections = (faults: BackendFaults, clock: Clock): boolean => {
   if (faults.peek('refuseConnections') !== undefined) return true
--- a/src/emulator/_lib/createAnswerWriter.ts
+++ b/src/emulator/_lib/createAnswerWriter.ts
@@ -134,7 +134,7 @@
  * @param body - The complete body.
  *
  * @example
- * writeWhole(writer, 200, { 'content-type': 'application/json' }, '{}')
+ * writeCompleteAnswer(writer, 200, { 'content-type': 'application/json' }, '{}')
  */
 export const writeCompleteAnswer = (writer: AnswerWriter, status: number, headers: Readonly<Record<string, string>>, body: string): void => {
   writer.head(status, { ...headers, 'content-length': String(Buffer.byteLength(body)) })
--- a/src/emulator/_lib/createBackendHttpServer.ts
+++ b/src/emulator/_lib/createBackendHttpServer.ts
@@ -35,7 +35,7 @@
  * @returns The server to add routes to, and a function that starts it.
  *
  * @example
- * const frame = createBackendFrame({ clock, faults, journal, report })
+ * const backend = createBackendHttpServer({ clock, faults, journal, report })
  */
 export const createBackendHttpServer = ({ clock, faults, journal, report }: BackendHttpServerOptions): BackendHttpServer => {
   const server = fastify({ bodyLimit: BODY_LIMIT, forceCloseConnections: true, routerOptions: { maxParamLength: 1000 } })
@@ -97,7 +97,7 @@
  * @returns The reply.
  *
  * @example
- * return refuseNotRun(reply, requestId, 'leaving')
+ * return sendNotRunRefusal(reply, requestId, 'leaving')
  */
 export const sendNotRunRefusal = (reply: FastifyReply, requestId: string, reason: string): FastifyReply =>
   reply.code(503).headers({ 'x-not-run': reason, 'x-request-id': requestId }).send({ error: { message: `not run: ${reason}`, code: reason } })
--- a/src/emulator/createModelEngineServer/_lib/formatAnswer.ts
+++ b/src/emulator/createModelEngineServer/_lib/formatAnswer.ts
@@ -31,7 +31,7 @@
  * @returns The JSON text.
  *
  * @example
- * formatWhole(job, { requestId: 'r1', model: 'm', includeUsage: true })
+ * formatCompletion(job, { requestId: 'r1', model: 'm', includeUsage: true })
  */
 export const formatCompletion = (job: EngineJob, { requestId, model }: AnswerFormat): string => JSON.stringify({
   id: formatCompletionId(requestId),
--- a/src/load/planLoad/_lib/draw.ts
+++ b/src/load/planLoad/_lib/draw.ts
@@ -25,7 +25,7 @@
  * @returns An integer.
  *
  * @example
- * drawWhole(random, 1, 6)
+ * drawInteger(random, 1, 6)
  */
 export const drawInteger = (random: RandomSource, smallest: number, largest: number): number =>
   smallest + Math.floor(random.next() * Math.max(1, largest - smallest + 1))
