--- a/src/emulator/_lib/createBackendFrame.ts
+++ b/src/emulator/_lib/createBackendHttpServer.ts
@@ -1,24 +1,24 @@
-/** What both kinds of backend server stand-in share: control routes, load report, faults of connections. */
+/** Common part of both kinds of emulated backend server: control routes, load report and connection faults. */
 import fastify, { type FastifyInstance, type FastifyReply, type FastifyRequest } from 'fastify'
 import type { Clock, LoadReport, RequestPriority } from '../../types/index.js'
 import type { Journal } from '../createJournal/index.js'
-import { isDown, type BackendFaults } from './backendFaults.js'
+import { isRefusingConnections, type BackendFaults } from './backendFaults.js'
 import { listen, type EmulatedServer, type ListenAddress } from './listen.js'
 import { createControlServer, registerControlRoutes } from './registerControlRoutes.js'
 
-export type BackendFrame = {
+export type BackendHttpServer = {
   readonly server: FastifyInstance
   readonly listen: (address: ListenAddress) => Promise<EmulatedServer>
 }
 
-export type BackendFrameOptions = {
+export type BackendHttpServerOptions = {
   readonly clock: Clock
   readonly faults: BackendFaults
   readonly journal: Journal
   readonly report: () => LoadReport
 }
 
-/** What a router tells of a request in its headers. */
+/** Fields of a request that a router sends in headers. */
 export type RequestHeaders = {
   readonly requestId: string
   readonly idempotencyKey: string | undefined
@@ -29,31 +29,31 @@
 const BODY_LIMIT = 10_000_000
 
 /**
- * Creates a server without routes of its own.
+ * Creates a server that has the common routes only.
  *
- * @param options - Clock, faults, and what the control routes show.
- * @returns The server to add routes to, and how to let it listen.
+ * @param options - Clock, faults, journal and load report.
+ * @returns The server to add routes to, and a function that starts it.
  *
  * @example
- * const frame = createBackendFrame({ clock, faults, journal, report })
+ * const backend = createBackendHttpServer({ clock, faults, journal, report })
  */
-export const createBackendFrame = ({ clock, faults, journal, report }: BackendFrameOptions): BackendFrame => {
+export const createBackendHttpServer = ({ clock, faults, journal, report }: BackendHttpServerOptions): BackendHttpServer => {
   const server = fastify({ bodyLimit: BODY_LIMIT, forceCloseConnections: true, routerOptions: { maxParamLength: 1000 } })
   const control = { faults, pages: { '/journal': () => ({ entries: journal.entries() }) } }
   registerControlRoutes(server, control)
 
   server.server.on('connection', (socket) => {
-    if (!isDown(faults, clock)) return
+    if (!isRefusingConnections(faults, clock)) return
     faults.take('refuseConnections')
     socket.resetAndDestroy()
   })
-  // An idle connection kept from before would let requests through to a
-  // server that is meant to be unreachable.
+  // Requests on an idle keep-alive connection would still reach a server that is
+  // meant to be unreachable.
   faults.onChange(() => {
-    if (isDown(faults, clock)) server.server.closeIdleConnections()
+    if (isRefusingConnections(faults, clock)) server.server.closeIdleConnections()
   })
   server.addHook('onRequest', async (request, reply) => {
-    if (!isDown(faults, clock)) return
+    if (!isRefusingConnections(faults, clock)) return
     dropConnection(request, reply)
   })
 
@@ -67,10 +67,10 @@
 }
 
 /**
- * Reads the headers by which a router describes a request.
+ * Reads the headers in which a router describes a request.
  *
  * @param request - The request.
- * @returns Its fields, with defaults for a caller that is no router.
+ * @returns The fields, with defaults for a caller that is not a router.
  *
  * @example
  * const { requestId } = readRequestHeaders(request)
@@ -89,24 +89,24 @@
 }
 
 /**
- * Sends the documented refusal, which alone proves that a request was not run.
+ * Sends the refusal with `x-not-run`, which is the only proof that a request was not run.
  *
- * @param reply - Where it goes.
- * @param requestId - Echoed.
- * @param reason - Why.
+ * @param reply - Reply to send.
+ * @param requestId - Returned in `x-request-id`.
+ * @param reason - Reason of the refusal.
  * @returns The reply.
  *
  * @example
- * return refuseNotRun(reply, requestId, 'leaving')
+ * return sendNotRunRefusal(reply, requestId, 'leaving')
  */
-export const refuseNotRun = (reply: FastifyReply, requestId: string, reason: string): FastifyReply =>
+export const sendNotRunRefusal = (reply: FastifyReply, requestId: string, reason: string): FastifyReply =>
   reply.code(503).headers({ 'x-not-run': reason, 'x-request-id': requestId }).send({ error: { message: `not run: ${reason}`, code: reason } })
 
 /**
- * Resets the connection of a request without any answer.
+ * Resets the connection of a request without an answer.
  *
  * @param request - The request.
- * @param reply - Taken out of the server's hands.
+ * @param reply - Its reply, which is hijacked so that Fastify does not send it.
  *
  * @example
  * dropConnection(request, reply)
--- a/src/emulator/composeAnswer/index.ts
+++ b/src/emulator/composeAnswer/index.ts
@@ -1,7 +1,7 @@
 /**
- * The answer that the stand-in engine gives to a prompt. It follows from the
- * prompt alone, so whoever asked can check that the answer is whole and is the
- * answer to its own request.
+ * Composes the answer of the emulated model engine to a prompt. It depends on
+ * the prompt alone, so a caller can check that the answer is complete and belongs
+ * to its own request.
  */
 import { hashText } from '../../hashing/index.js'
 
@@ -9,15 +9,15 @@
 
 export type ComposedAnswer = {
   readonly text: string
-  /** The text in the pieces in which it is generated: one a token. */
+  /** The text split into tokens. */
   readonly tokens: readonly string[]
   readonly finishReason: 'stop' | 'length'
 }
 
 const MARKER_LENGTH = 40
-const SHORTEST_ANSWER = 24
-const ANSWER_LENGTHS = 232
-const MIXING_STEP = 2654435761
+const MINIMUM_ANSWER_TOKENS = 24
+const ANSWER_LENGTH_RANGE = 232
+const HASH_MULTIPLIER = 2654435761
 const HASH_SPACE = 2 ** 32
 
 const WORDS: readonly string[] = [
@@ -27,33 +27,33 @@
 ]
 
 /**
- * Composes the whole answer to a chat.
+ * Composes the complete answer to a chat.
  *
- * It opens with a hash of all messages and with the beginning of the last one,
- * so that an answer that went to somebody else's request shows. Then come
- * words that follow from that hash, up to a length that follows from it too.
+ * It starts with a hash of all messages and the beginning of the last one, so
+ * that an answer to another request can be recognised. The words that follow and
+ * their number are derived from that hash.
  *
  * @param messages - The chat so far.
- * @param maximumTokens - Where the answer is cut off; no limit by default.
- * @returns The text, its tokens, and whether it ended by itself.
+ * @param maximumTokens - Maximum number of tokens; no limit by default.
+ * @returns The text, its tokens, and whether it ended before the limit.
  *
  * @example
  * composeAnswer([{ role: 'user', content: 'Is there ravioli?' }], 8).tokens.length // => 8
  */
 export const composeAnswer = (messages: readonly ChatMessage[], maximumTokens: number = Infinity): ComposedAnswer => {
   const seed = hashMessages(messages)
-  const naturalLength = SHORTEST_ANSWER + seed % ANSWER_LENGTHS
-  const length = Math.min(naturalLength, maximumTokens)
+  const fullLength = MINIMUM_ANSWER_TOKENS + seed % ANSWER_LENGTH_RANGE
+  const length = Math.min(fullLength, maximumTokens)
   const marker = (messages.at(-1)?.content ?? '').slice(0, MARKER_LENGTH)
   const opening = [`[${seed.toString(16).padStart(8, '0')}] `, `"${marker}":`]
   const filler = Array.from({ length: Math.max(0, length - opening.length) }, (_, index) => ` ${pickWord(seed, index)}`)
   const tokens = [...opening, ...filler].slice(0, length)
-  return { text: tokens.join(''), tokens, finishReason: length < naturalLength ? 'length' : 'stop' }
+  return { text: tokens.join(''), tokens, finishReason: length < fullLength ? 'length' : 'stop' }
 }
 
 /**
- * Hashes a chat message by message, each upon the hash of those before it, so
- * that chats with a common beginning have common hashes up to there.
+ * Hashes every prefix of a chat: the hash of each message includes the messages
+ * before it, so chats with a common prefix have the same hashes for it.
  *
  * @param messages - The chat so far.
  * @returns The hash after each message, in order.
@@ -76,6 +76,6 @@
   messages.reduce((hash, { role, content }) => hashText(`${role}\n${content}`, hash), 0)
 
 const pickWord = (seed: number, index: number): string => {
-  const mixed = (seed + Math.imul(index + 1, MIXING_STEP)) % HASH_SPACE
+  const mixed = (seed + Math.imul(index + 1, HASH_MULTIPLIER)) % HASH_SPACE
   return WORDS[(mixed >>> 16) % WORDS.length]!
 }
--- a/src/emulator/createFaultSwitches/index.ts
+++ b/src/emulator/createFaultSwitches/index.ts
@@ -1,33 +1,33 @@
-/** The switches by which a test turns the faults of a stand-in on and off. */
+/** Switches that turn the faults of an emulated server on and off. */
 import { z } from 'zod'
 
-/** How one fault is set: on until switched off, or for the next `count` times. */
-export type FaultOrder = {
+/** Turns one fault on until it is turned off, or for the next `count` times. */
+export type FaultCommand = {
   readonly fault: string
   readonly on?: boolean | undefined
   readonly count?: number | undefined
-  /** Duration, for faults that delay. */
+  /** Duration in milliseconds, for faults that delay. */
   readonly ms?: number | undefined
-  /** Place in the answer, for faults in the middle of one. */
+  /** Number of pieces of the answer before the fault, for faults in the middle of an answer. */
   readonly after?: number | undefined
 }
 
 export type FaultSetting = { readonly remaining: number, readonly ms: number, readonly after: number }
 
 export type FaultSwitches<Name extends string> = {
-  /** Sets one fault; returns false when there is no such fault. */
-  readonly apply: (order: FaultOrder) => boolean
+  /** Sets one fault; returns false when the fault is unknown. */
+  readonly apply: (command: FaultCommand) => boolean
   readonly clear: () => void
-  /** The setting when the fault is on; it is not used up. */
+  /** The setting when the fault is on; a counted fault is not decremented. */
   readonly peek: (fault: Name) => FaultSetting | undefined
-  /** The setting when the fault is on; a counted fault is used up by one. */
+  /** The setting when the fault is on; a counted fault is decremented. */
   readonly take: (fault: Name) => FaultSetting | undefined
   readonly settings: () => Readonly<Record<string, { readonly remaining: number | 'on', readonly ms: number, readonly after: number }>>
   readonly onChange: (listener: () => void) => void
 }
 
 /** The body of `POST /faults`. */
-export const faultOrderSchema = z.object({
+export const faultCommandSchema = z.object({
   fault: z.string(),
   on: z.boolean().optional(),
   count: z.number().int().min(0).optional(),
@@ -38,7 +38,7 @@
 /**
  * Creates the switches of the named faults, all off.
  *
- * @param names - The faults that the stand-in knows.
+ * @param names - The faults of the emulated server.
  * @returns The switches.
  *
  * @example
@@ -51,7 +51,7 @@
   const known = new Set<string>(names)
   const active = new Map<string, FaultSetting>()
   const listeners: (() => void)[] = []
-  const announce = (): void => listeners.forEach((listener) => listener())
+  const notifyListeners = (): void => listeners.forEach((listener) => listener())
 
   return {
     apply: ({ fault, on, count, ms = 0, after = 0 }) => {
@@ -59,12 +59,12 @@
       const remaining = on === false ? 0 : count ?? Infinity
       if (remaining > 0) active.set(fault, { remaining, ms, after })
       else active.delete(fault)
-      announce()
+      notifyListeners()
       return true
     },
     clear: () => {
       active.clear()
-      announce()
+      notifyListeners()
     },
     peek: (fault) => active.get(fault),
     take: (fault) => {
--- a/src/emulator/createKnowledgeFleet/index.ts
+++ b/src/emulator/createInProcessFleet/index.ts
@@ -1,9 +1,10 @@
 /**
- * Gateway nodes on one manual clock, over a source whose newest version is
- * known at every moment: for what nodes may believe, in interleavings by the
- * hundred. No sockets; peers talk over the memory network.
+ * Runs gateway nodes in one process on one manual clock, with a source that
+ * records which version was the newest at every time. Tests compare the view of
+ * the nodes with it in hundreds of interleavings. There are no sockets; peers
+ * use the network in memory.
  */
-import { createKnowledgeSource, type KnowledgeSource } from './_lib/createKnowledgeSource.js'
+import { createFleetSource, type FleetSource } from './_lib/createFleetSource.js'
 import { composeGatewaySettings } from '../composeGatewaySettings/index.js'
 import { createManualClock, type ManualClock } from '../createManualClock/index.js'
 import { createMemoryPeerNetwork, type MemoryPeerNetwork, type MemoryPeerTransport } from '../createMemoryPeerNetwork/index.js'
@@ -11,25 +12,25 @@
 import { createGatewayNode, type GatewayNode } from '../../node/createGatewayNode/index.js'
 import type { InstanceClient, Logger, Metrics, PeerAddress } from '../../types/index.js'
 
-export type KnowledgeFleetOptions = {
+export type InProcessFleetOptions = {
   readonly nodesPerZone: number
   readonly zones?: number
-  /** A number in [0, 1) per call. */
+  /** Returns a number in [0, 1). */
   readonly random: () => number
-  /** Routes in each configuration, of which the last differs from one version to the next; none by default. */
+  /** Number of routes in each configuration, of which the last one changes with each version; 0 by default. */
   readonly routes?: number
 }
 
-export type KnowledgeFleet = Omit<KnowledgeSource, 'connect'> & {
+export type InProcessFleet = Omit<FleetSource, 'connect'> & {
   readonly clock: ManualClock
   readonly network: MemoryPeerNetwork
   readonly nodes: readonly GatewayNode[]
   readonly addressOf: (index: number) => PeerAddress
   readonly start: () => Promise<void>
   readonly stop: () => Promise<void>
-  /** Ends a node at once and starts it anew, with nothing kept. */
+  /** Stops a node and starts a new one at its address, with no state kept. */
   readonly restart: (index: number) => Promise<void>
-  /** What each node sent its peers since the start. */
+  /** Peer transport of each node, which counts what it has sent. */
   readonly transports: readonly MemoryPeerTransport[]
 }
 
@@ -42,11 +43,11 @@
   close: () => undefined
 }
 
-/** Creates the fleet; nothing runs before `start`. */
-export const createKnowledgeFleet = (options: KnowledgeFleetOptions): KnowledgeFleet => {
+/** Creates the fleet; its nodes do not run before `start`. */
+export const createInProcessFleet = (options: InProcessFleetOptions): InProcessFleet => {
   const clock = createManualClock()
   const network = createMemoryPeerNetwork({ clock, delayMs: () => 5 })
-  const source = createKnowledgeSource(clock, options.routes ?? 0)
+  const source = createFleetSource(clock, options.routes ?? 0)
   const transports: MemoryPeerTransport[] = []
 
   const addressOf = (index: number): PeerAddress => ({ host: `node-${String(index).padStart(3, '0')}`, port: 1 })
--- a/src/emulator/createMemoryPlatform/index.ts
+++ b/src/emulator/createMemoryPlatform/index.ts
@@ -1,19 +1,19 @@
 /**
- * A versioned object store in memory that stands in for the platform: the
- * conditions, revisions and watches of the real one, without its network.
+ * Emulates the platform as a versioned object store in memory, with conditional
+ * writes, revisions and watches but without a network.
  */
 import { failure, success } from '../../kernel/index.js'
 import type { Clock, ObjectChange, ObjectList, Platform, PlatformError, PlatformObject, Result, Vm, WatchEvents } from '../../types/index.js'
 
 export type MemoryPlatformOptions = {
-  /** Changes that a watch can look back on; older revisions are gone. */
+  /** Number of changes kept for watches; a watch on an older revision fails with `revisionGone`. */
   readonly historyLimit?: number
   readonly maximumObjectBytes?: number
 }
 
 export type MemoryPlatform = Platform & {
   readonly setVms: (vms: readonly Vm[]) => void
-  /** Revision of the whole store: the number of writes so far. */
+  /** Revision of the store: the number of writes so far. */
   readonly revision: () => number
 }
 
@@ -28,13 +28,13 @@
 /**
  * Creates an empty store.
  *
- * Nothing in it depends on anything but its calls and the clock, so runs
- * repeat exactly. A version is the revision at which the object was written.
- * The bytes handed in and out are copies.
+ * Its results depend only on the calls and the clock, so runs are reproducible.
+ * The version of an object is the revision at which it was written. Bytes passed
+ * in and returned are copies.
  *
- * @param clock - Ends the waiting of watches.
- * @param options - Bounds of the history, in changes, and of one object, in bytes.
- * @returns A `Platform`, with the VM list settable.
+ * @param clock - Times out watches.
+ * @param options - Limits of the history, in changes, and of one object, in bytes.
+ * @returns A `Platform` whose VM list can be set.
  *
  * @example
  * const platform = createMemoryPlatform(createManualClock())
@@ -46,7 +46,7 @@
   const objects = new Map<string, PlatformObject>()
   const watchers = new Set<Watcher>()
   let history: RecordedChange[] = []
-  let forgottenRevision = 0
+  let oldestWatchableRevision = 0
   let revision = 0
   let vms: readonly Vm[] = []
 
@@ -55,7 +55,7 @@
     const change = { name, kind, version: String(revision), revision }
     history.push(change)
     if (history.length > 2 * historyLimit) history = history.slice(-historyLimit)
-    forgottenRevision = Math.max(forgottenRevision, revision - historyLimit)
+    oldestWatchableRevision = Math.max(oldestWatchableRevision, revision - historyLimit)
     for (const watcher of [...watchers]) {
       if (name.startsWith(watcher.prefix)) watcher.notify(change)
     }
@@ -107,9 +107,9 @@
       return success(buildList(names, limit, objects, revision))
     },
     watchObjects: async (prefix, after, timeoutMs) => {
-      // A revision from the future comes from a store that was replaced: a
-      // watch on it would wait for ever and miss every change until then.
-      if (after < forgottenRevision || after > revision) return failure({ kind: 'revisionGone' })
+      // A revision beyond the current one comes from a store that has been
+      // replaced. A watch on it would wait for ever and miss all changes up to it.
+      if (after < oldestWatchableRevision || after > revision) return failure({ kind: 'revisionGone' })
       const missed = changesAfter(prefix, after)
       if (missed.length > 0) return success({ revision, changes: missed })
       return success(await waitForChange(prefix, timeoutMs))
--- a/src/emulator/createModelEngineServer/_lib/formatAnswer.ts
+++ b/src/emulator/createModelEngineServer/_lib/formatAnswer.ts
@@ -1,8 +1,8 @@
-/** A job's answer in the OpenAI form: as one object, or as numbered events. */
+/** Formats the answer of a job as the OpenAI API does: as one JSON object, or as numbered server-sent events. */
 import type { EngineJob } from '../../createModelEngine/index.js'
 
 export type AnswerFormat = {
-  /** Identifier that the answer carries; the request's own unless answers are crossed. */
+  /** Request identifier in the answer; differs from that of the request only with the fault `crossedAnswer`. */
   readonly requestId: string
   readonly model: string
   readonly includeUsage: boolean
@@ -21,20 +21,20 @@
   }
 }
 
-const completionId = (requestId: string): string => `chatcmpl-${requestId}`
+const formatCompletionId = (requestId: string): string => `chatcmpl-${requestId}`
 
 /**
- * Formats a complete job as a whole answer.
+ * Formats a complete job as one JSON object.
  *
  * @param job - A complete job.
- * @param format - What the answer names.
+ * @param format - Request identifier and model that the answer states.
  * @returns The JSON text.
  *
  * @example
- * formatWhole(job, { requestId: 'r1', model: 'm', includeUsage: true })
+ * formatCompletion(job, { requestId: 'r1', model: 'm', includeUsage: true })
  */
-export const formatWhole = (job: EngineJob, { requestId, model }: AnswerFormat): string => JSON.stringify({
-  id: completionId(requestId),
+export const formatCompletion = (job: EngineJob, { requestId, model }: AnswerFormat): string => JSON.stringify({
+  id: formatCompletionId(requestId),
   object: 'chat.completion',
   created: 0,
   model,
@@ -43,26 +43,26 @@
 })
 
 /**
- * Counts the events of a complete stream, its end marker included.
+ * Counts the events of a complete stream, including its end marker.
  *
  * @param job - The job.
- * @param format - Whether there is an event with the usage.
- * @returns A whole number.
+ * @param format - Whether the stream has an event with the usage.
+ * @returns The number of events.
  *
  * @example
- * countEvents(job, format) // => one a token, then finish, usage and end marker
+ * countEvents(job, format) // => one per token, then finish, usage and end marker
  */
 export const countEvents = (job: EngineJob, { includeUsage }: AnswerFormat): number =>
   job.answer.tokens.length + (includeUsage ? 3 : 2)
 
 /**
- * Formats one event of a stream. It follows from the job alone, so a resumed
- * stream repeats the very bytes of the first.
+ * Formats one event of a stream. The result depends on the job alone, so a
+ * resumed stream repeats the same bytes.
  *
  * @param job - The job.
- * @param format - What the answer names.
- * @param number - Which event, from 1.
- * @returns The event in the text form of server-sent events.
+ * @param format - Request identifier and model that the event states.
+ * @param number - Number of the event, from 1.
+ * @returns The text of a server-sent event.
  *
  * @example
  * formatEvent(job, format, 1) // => 'id: 1\ndata: {...}\n\n'
@@ -72,7 +72,7 @@
 
 const formatEventData = (job: EngineJob, format: AnswerFormat, number: number): string => {
   const { tokens, finishReason } = job.answer
-  const chunk = { id: completionId(format.requestId), object: 'chat.completion.chunk', created: 0, model: format.model }
+  const chunk = { id: formatCompletionId(format.requestId), object: 'chat.completion.chunk', created: 0, model: format.model }
   if (number <= tokens.length) {
     const role = number === 1 ? { role: 'assistant' } : {}
     return JSON.stringify({ ...chunk, choices: [{ index: 0, delta: { ...role, content: tokens[number - 1] }, finish_reason: null }] })
--- a/src/load/createLoadRecorder/index.ts
+++ b/src/load/createLoadRecorder/index.ts
@@ -1,10 +1,10 @@
-/** Adds up what came of the requests of a load. */
+/** Records the outcomes and latencies of the requests of a load run, and summarises them. */
 import { build, type Histogram } from 'hdr-histogram-js'
 import { countTokens } from '../../emulator/countTokens/index.js'
 import type { PlannedRequest, RequestKind } from '../planLoad/index.js'
 import type { LoadOutcome, SentRequest } from '../sendPlannedRequest/index.js'
 
-/** Milliseconds at quantiles; `count` tells of how many measurements. */
+/** Percentiles of a latency in milliseconds; `count` is the number of samples. */
 export type LatencySummary = {
   readonly count: number
   readonly mean: number
@@ -18,7 +18,7 @@
 
 export type LoadSummary = {
   readonly sent: number
-  /** Not sent because too many requests were open. */
+  /** Requests not sent because too many requests were open. */
   readonly skipped: number
   readonly durationMs: number
   readonly requestsPerSecond: number
@@ -27,14 +27,14 @@
   readonly tokensPerSecond: number
   readonly outcomes: OutcomeSummary
   readonly outcomesByKind: Readonly<Record<string, OutcomeSummary>>
-  /** How often each reason came, as `<outcome>: <reason>`. */
+  /** Number of requests by outcome and reason, keyed `<outcome>: <reason>`. */
   readonly reasons: Readonly<Record<string, number>>
   readonly latencies: {
     readonly firstToken: LatencySummary
     readonly betweenTokens: LatencySummary
     readonly wholeAnswer: LatencySummary
     readonly plainCall: LatencySummary
-    /** How late this tool itself sent, against the plan. */
+    /** How much later than planned requests were sent. */
     readonly sendingDelay: LatencySummary
   }
   readonly cache: {
@@ -42,23 +42,23 @@
     readonly cachedTokens: number
     /** Cached share of all prompt tokens. */
     readonly tokenShare: number
-    /** Complete chat requests that go on with an earlier chat. */
+    /** Complete chat requests that continue an earlier chat. */
     readonly returning: number
-    /** Share of those whose whole history was cached. */
+    /** Share of those whose complete history was cached. */
     readonly requestShare: number
   }
   readonly backendServers: Readonly<Record<string, number>>
-  /** Open answers of the fullest model engine over their mean, sampled through the run. */
+  /** Load skew, sampled during the run: open answers of the model engine with the most of them, divided by the mean. */
   readonly skew: { readonly samples: number, readonly p50: number, readonly p99: number, readonly max: number }
 }
 
 export type LoadRecorder = {
   readonly recordSkipped: () => void
   readonly recordSendingDelay: (delayMs: number) => void
-  /** Notes that a backend server has begun to answer. */
-  readonly recordServing: (kind: RequestKind, backendServer: string) => void
+  /** Records that a backend server has begun to answer. */
+  readonly recordAnswerStart: (kind: RequestKind, backendServer: string) => void
   readonly recordResult: (planned: PlannedRequest, sent: SentRequest) => void
-  /** Takes one sample of how the open answers spread over the backend servers. */
+  /** Samples the distribution of the open answers over the backend servers. */
   readonly sampleSkew: () => void
   readonly summarise: (durationMs: number) => LoadSummary
 }
@@ -66,7 +66,7 @@
 const MILLISECONDS_PER_SECOND = 1000
 const MICROSECONDS_PER_MILLISECOND = 1000
 const SKEW_SCALE = 1000
-const HIGHEST_MICROSECONDS = 3_600_000_000
+const MAXIMUM_LATENCY_MICROSECONDS = 3_600_000_000
 const SIGNIFICANT_DIGITS = 3
 
 const NO_OUTCOMES: OutcomeSummary = { complete: 0, refusedNotRun: 0, refusedUnknown: 0, broken: 0, wrong: 0 }
@@ -100,11 +100,11 @@
   const recordOutcome = (kind: RequestKind, { outcome, reason }: SentRequest): void => {
     const known = outcomes.get(kind) ?? NO_OUTCOMES
     outcomes.set(kind, { ...known, [outcome]: known[outcome] + 1 })
-    if (reason !== undefined) add(reasons, `${outcome}: ${reason}`, 1)
+    if (reason !== undefined) addToCount(reasons, `${outcome}: ${reason}`, 1)
   }
 
   const recordLatencies = (planned: PlannedRequest, sent: SentRequest): void => {
-    record(isChatKind(planned.kind) ? wholeAnswer : plainCall, sent.wholeMs)
+    record(isChatKind(planned.kind) ? wholeAnswer : plainCall, sent.totalMs)
     if (sent.firstTokenMs !== undefined) record(firstToken, sent.firstTokenMs)
     for (const gap of sent.betweenTokensMs) record(betweenTokens, gap)
   }
@@ -122,12 +122,12 @@
   return {
     recordSkipped: () => { skipped += 1 },
     recordSendingDelay: (delayMs) => record(sendingDelay, delayMs),
-    recordServing: (kind, backendServer) => {
-      add(served, backendServer, 1)
-      if (isChatKind(kind)) add(open, backendServer, 1)
+    recordAnswerStart: (kind, backendServer) => {
+      addToCount(served, backendServer, 1)
+      if (isChatKind(kind)) addToCount(open, backendServer, 1)
     },
     recordResult: (planned, sent) => {
-      if (sent.servedBy !== undefined && isChatKind(planned.kind)) add(open, sent.servedBy, -1)
+      if (sent.servedBy !== undefined && isChatKind(planned.kind)) addToCount(open, sent.servedBy, -1)
       recordOutcome(planned.kind, sent)
       if (sent.outcome !== 'complete') return
       recordLatencies(planned, sent)
@@ -136,7 +136,7 @@
     sampleSkew: () => {
       const counts = [...open.values()]
       const mean = counts.reduce((sum, count) => sum + count, 0) / counts.length
-      // Below one open answer a server, the ratio says nothing of the placement.
+      // With less than one open answer per server, the ratio says nothing about the placement.
       if (mean >= 1) skew.recordValue(Math.max(...counts) / mean * SKEW_SCALE)
     },
     summarise: (durationMs) => {
@@ -146,9 +146,9 @@
         sent,
         skipped,
         durationMs,
-        requestsPerSecond: perSecond(sent, durationMs),
+        requestsPerSecond: computeRatePerSecond(sent, durationMs),
         completionTokens,
-        tokensPerSecond: perSecond(completionTokens, durationMs),
+        tokensPerSecond: computeRatePerSecond(completionTokens, durationMs),
         outcomes: total,
         outcomesByKind: Object.fromEntries(outcomes),
         reasons: Object.fromEntries(reasons),
@@ -162,9 +162,9 @@
         cache: {
           promptTokens,
           cachedTokens,
-          tokenShare: share(cachedTokens, promptTokens),
+          tokenShare: computeShare(cachedTokens, promptTokens),
           returning,
-          requestShare: share(returningCached, returning)
+          requestShare: computeShare(returningCached, returning)
         },
         backendServers: Object.fromEntries([...served].sort()),
         skew: {
@@ -179,13 +179,13 @@
 }
 
 const createHistogram = (): Histogram =>
-  build({ lowestDiscernibleValue: 1, highestTrackableValue: HIGHEST_MICROSECONDS, numberOfSignificantValueDigits: SIGNIFICANT_DIGITS })
+  build({ lowestDiscernibleValue: 1, highestTrackableValue: MAXIMUM_LATENCY_MICROSECONDS, numberOfSignificantValueDigits: SIGNIFICANT_DIGITS })
 
 const record = (histogram: Histogram, milliseconds: number): void =>
-  histogram.recordValue(Math.min(HIGHEST_MICROSECONDS, Math.max(0, Math.round(milliseconds * MICROSECONDS_PER_MILLISECOND))))
+  histogram.recordValue(Math.min(MAXIMUM_LATENCY_MICROSECONDS, Math.max(0, Math.round(milliseconds * MICROSECONDS_PER_MILLISECOND))))
 
 const summariseLatency = (histogram: Histogram): LatencySummary => {
-  // A quantile is the top of its bucket, which may lie above the maximum.
+  // A percentile is the upper bound of its bucket, which may exceed the maximum.
   const inMilliseconds = (value: number): number => Math.min(value, histogram.maxValue) / MICROSECONDS_PER_MILLISECOND
   if (histogram.totalCount === 0) return { count: 0, mean: 0, p50: 0, p95: 0, p99: 0, max: 0 }
   return {
@@ -203,11 +203,11 @@
 const countHistoryTokens = (messages: readonly { readonly content: string }[]): number =>
   messages.slice(0, -1).reduce((sum, { content }) => sum + countTokens(content), 0)
 
-const add = (counts: Map<string, number>, name: string, by: number): void => { counts.set(name, (counts.get(name) ?? 0) + by) }
+const addToCount = (counts: Map<string, number>, name: string, by: number): void => { counts.set(name, (counts.get(name) ?? 0) + by) }
 
-const perSecond = (count: number, durationMs: number): number => durationMs > 0 ? count * MILLISECONDS_PER_SECOND / durationMs : 0
+const computeRatePerSecond = (count: number, durationMs: number): number => durationMs > 0 ? count * MILLISECONDS_PER_SECOND / durationMs : 0
 
-const share = (part: number, whole: number): number => whole === 0 ? 0 : part / whole
+const computeShare = (part: number, whole: number): number => whole === 0 ? 0 : part / whole
 
 const sumOutcomes = (summaries: readonly OutcomeSummary[]): OutcomeSummary =>
   summaries.reduce((left, right) => ({
