--- a/eslint.config.js
+++ b/eslint.config.js
@@ -5,7 +5,7 @@
   '**/adapters/**', '**/services/**', '**/cli/**', '**/emulator/**'
 ]
 
-/** Names of the operators' platform: they are decoded in platform/ and go no further. (X-Deadline-Ms is also the product's own.) */
+/** Names that belong to the operators' platform. They are translated in platform/ and must not occur in src/. X-Deadline-Ms is not listed, since the product has a header of that name too. */
 const platformNames = /^(x-(attempt-id|server-stamp|prompt-prefix|token-count|expect-instance|not-executed|server-load|request-priority)|path_prefix|api_keys|after_rev|current_rev|latency_goal_ms|route_type|config_apply_ms)$/i
 
 const impureGlobals = ['Date', 'setTimeout', 'setInterval', 'setImmediate', 'process', 'performance', 'fetch']
--- a/scripts/bundle/assert.cjs
+++ b/scripts/bundle/assert.cjs
@@ -1,4 +1,4 @@
-/** Stands in for node:assert, of which undici calls the plain check: the module itself loads four others and the colours of its messages. */
+/** Replaces node:assert in the bundle. undici only calls `assert(value, message)`; node:assert itself loads four other modules and the colour support of its messages. */
 'use strict'
 module.exports = (value, message) => {
   if (value) return
--- a/scripts/bundle/cbor.mjs
+++ b/scripts/bundle/cbor.mjs
@@ -1,2 +1,2 @@
-/** cbor-x without its search for a native addon, which loads the engine's module loader and finds nothing in a bundle. */
+/** Exports cbor-x without its look-up of a native addon, which loads the module loader of Node.js and finds no addon in a bundle. */
 export * from 'cbor-x/encode'
--- a/scripts/bundle/colors.cjs
+++ b/scripts/bundle/colors.cjs
@@ -1,3 +1,3 @@
-/** Stands in for the colours of log levels: the daemon writes JSON. */
+/** Replaces the colours of log levels, which the daemon does not use: it logs JSON. */
 'use strict'
 module.exports = {}
--- a/scripts/bundle/diagnostics.cjs
+++ b/scripts/bundle/diagnostics.cjs
@@ -1,3 +1,3 @@
-/** Stands in for winston's debugging output, whose colours take longer to load than winston itself. */
+/** Replaces winston's debugging output, whose colour library takes longer to load than winston itself. */
 'use strict'
 module.exports = () => () => {}
--- a/scripts/bundle/writeCode.cjs
+++ b/scripts/bundle/writeCode.cjs
@@ -1,6 +1,6 @@
 /**
- * Runs the daemon, and writes out at its end what the engine has compiled:
- * functions that ran by then are in it, so a start compiles none of them.
+ * Runs the daemon and, when it exits, writes the V8 code cache. The cache contains
+ * the functions that have run by then, so a start does not compile these again.
  */
 'use strict'
 const { readFileSync, writeFileSync } = require('node:fs')
@@ -8,7 +8,7 @@
 const { Script } = require('node:vm')
 
 const path = resolve('target/program.cjs')
-// Wrapped as in platform/boot.ts: compiled code is taken only for the very same text.
+// Wrapped as in platform/boot.ts: V8 accepts a code cache only for exactly the same source text.
 const script = new Script(`(function (exports, require, module, __filename, __dirname) {${readFileSync(path, 'utf8')}\n})`, { filename: path })
 
 const exit = process.exit
--- a/scripts/bundlePlatform.mjs
+++ b/scripts/bundlePlatform.mjs
@@ -1,15 +1,16 @@
 /**
- * Bundles the platform's daemon: one file, since loading hundreds of modules
- * costs more than running them, with the engine's compiled code beside it, since
- * compiling the file costs more than starting the program.
+ * Bundles the daemon of the operators' platform and writes a V8 code cache for it.
+ * The daemon is one file because loading hundreds of modules takes longer than running
+ * them. The code cache exists because compiling that file takes longer than starting
+ * the program.
  */
 import { fileURLToPath } from 'node:url'
 import { build } from 'esbuild'
 
-/** Those of the deploy file: the engine takes compiled code only from a process with the same flags. */
+/** The flags of deploy/system.toml: V8 accepts a code cache only from a process with the same flags. */
 const ENGINE_FLAGS = ['--max-old-space-size=160']
 
-/** Modules of libraries that the daemon never calls, and what stands in for them; each costs a start on a small VM some milliseconds. */
+/** Library modules that the daemon does not need, and their replacements; loading each takes some milliseconds of the start on a small VM. */
 const REPLACED_MODULES = [
   { filter: /^undici$/, file: 'undici.mjs' },
   { filter: /\/client-h2(\.js)?$/, file: 'http2Client.cjs' },
@@ -39,7 +40,7 @@
   format: 'cjs',
   minify: true,
   outfile,
-  // The global loads a dozen of the engine's modules; the daemon tells time by process.hrtime, and lru-cache by Date without it.
+  // The `performance` global loads a dozen built-in modules of Node.js. The daemon reads time from process.hrtime, and lru-cache falls back to Date without it.
   define: { performance: 'undefined' },
   plugins: [replaceModules]
 })
--- a/scripts/checkUpgrade.mjs
+++ b/scripts/checkUpgrade.mjs
@@ -1,7 +1,7 @@
 /**
- * Runs a build of an earlier release beside this one and checks that they
- * understand each other: as routers, as gateways, and on what the earlier one
- * left behind. Both folders need `npm ci`, which builds.
+ * Runs a build of an earlier release beside this one and checks that they are
+ * compatible: as routers, as gateways, and that this build reads the stored data of
+ * the earlier one. Run `npm ci` in both folders first, which also builds.
  *
  *   node scripts/checkUpgrade.mjs FOLDER-OF-THE-EARLIER-RELEASE
  */
--- a/scripts/demoPlatform.mjs
+++ b/scripts/demoPlatform.mjs
@@ -1,4 +1,4 @@
-/** Bundles and runs the example of the operators' platform. */
+/** Bundles and runs examples/platform, the example for the operators' platform. */
 import { build } from 'esbuild'
 
 await build({
--- a/scripts/runTests.mjs
+++ b/scripts/runTests.mjs
@@ -1,7 +1,7 @@
 /**
- * Runs every test and judges the run. The run passes when each test passed,
- * except for those that KNOWN-RED.txt lists; these are printed, and a listed
- * test that passes again fails the run so that the line is taken out.
+ * Runs every test and decides whether the run passes. It passes when all tests pass
+ * except those listed in KNOWN-RED.txt, which are printed. A listed test that passes
+ * fails the run, so that its line is removed from the file.
  */
 import { readFileSync, rmSync, existsSync, mkdtempSync } from 'node:fs'
 import { tmpdir } from 'node:os'
--- a/scripts/upgrade/checkGateways.mjs
+++ b/scripts/upgrade/checkGateways.mjs
@@ -1,4 +1,4 @@
-/** Gateways of both builds over one store, and logs of the old build read by both. */
+/** Checks that gateways of both builds work together with one store, and that both builds read logs of the old build alike. */
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -50,12 +50,12 @@
       const response = await fetch(`http://${host}:${port}/readyz`).catch(() => undefined)
       return response?.ok === true
     }
-    check('four gateways of both builds become ready on settings files of one form', await waitUntil(async () => (await Promise.all(gateways.map(isReady))).every(Boolean)))
+    check('two gateways of each build become ready with settings files of the same format', await waitUntil(async () => (await Promise.all(gateways.map(isReady))).every(Boolean)))
     const readMembers = async ({ metricsAddress: { host, port } }) => {
       const text = await (await fetch(`http://${host}:${port}/metrics`)).text()
       return Number(/dotterelspoke_members\{state="live"\} (\d+)/.exec(text)?.[1] ?? 0)
     }
-    check('each sees four live members', await waitUntil(async () => (await Promise.all(gateways.map(readMembers))).every((count) => count === 4)))
+    check('each gateway has four live members', await waitUntil(async () => (await Promise.all(gateways.map(readMembers))).every((count) => count === 4)))
 
     for (const [first, second] of [[old1, new2], [new2, old1], [old3, new4], [new4, old3]]) {
       const label = `${gateways.indexOf(first) + 1}-${gateways.indexOf(second) + 1}`
@@ -63,27 +63,27 @@
       const ids = Array.from({ length: PROMPTS }, (_, index) => `p${index}`)
       const before = []
       for (const id of ids) before.push(await ask(first, id, 'first'))
-      // Sends of new prompts are announced to peers in batches.
+      // A gateway announces to its peers, in batches, which server received which prompt.
       await new Promise((resolve) => { setTimeout(resolve, 1_000) })
       let returned = 0
       for (const [index, id] of ids.entries()) {
         const again = await ask(second, id, 'second')
         if (again.status === 200 && readServer(again) !== undefined && readServer(again) === readServer(before[index])) returned += 1
       }
-      check(`prompts sent through ${label.replace('-', ' return through ')} to their engines`, returned === PROMPTS, `${returned} of ${PROMPTS}`)
+      check(`prompts first sent through gateway ${label.replace('-', ' return through ')} to the engine that caches them`, returned === PROMPTS, `${returned} of ${PROMPTS}`)
     }
     const orders = await Promise.all(gateways.map(({ callerAddress }) => callGateway(callerAddress, { path: '/order/1', body: 'order' })))
-    check('orders are forwarded by all', orders.every(({ status, isComplete }) => status === 200 && isComplete), orders.map(({ status }) => status).join(', '))
+    check('all gateways forward orders', orders.every(({ status, isComplete }) => status === 200 && isComplete), orders.map(({ status }) => status).join(', '))
 
     platform.applyConfiguration(2)
     const holdsVersion = ({ lines }) => lines.some(({ message, version }) => message === 'configuration in force' && version === 2)
-    check('version 2 of the configuration reaches all', await waitUntil(() => gateways.every(holdsVersion)), gateways.map(({ lines }) => lines.find(({ message, version }) => message === 'configuration in force' && version === 2)?.from).join(', '))
+    check('version 2 of the configuration reaches all gateways', await waitUntil(() => gateways.every(holdsVersion)), gateways.map(({ lines }) => lines.find(({ message, version }) => message === 'configuration in force' && version === 2)?.from).join(', '))
     platform.store.put('evacuations', 'zone-b', {})
-    check('a zone drain reaches all', await waitUntil(() => gateways.every((gateway) => readEventNames(gateway).includes('zone drain begun'))), gateways.map(({ lines }) => lines.find(({ message }) => message === 'zone drain begun')?.from).join(', '))
+    check('a zone drain reaches all gateways', await waitUntil(() => gateways.every((gateway) => readEventNames(gateway).includes('zone drain begun'))), gateways.map(({ lines }) => lines.find(({ message }) => message === 'zone drain begun')?.from).join(', '))
     const during = await Promise.all(gateways.map(({ callerAddress }) => callGateway(callerAddress, { path: '/lookup/1' })))
-    check('and all serve from the other zone', during.every(({ status }) => status === 200), during.map(({ status }) => status).join(', '))
+    check('all gateways use servers of the other zone during the drain', during.every(({ status }) => status === 200), during.map(({ status }) => status).join(', '))
     const unreadable = gateways.flatMap(({ lines }) => lines).filter(({ message }) => UNREADABLE.test(String(message)))
-    check('no gateway logs a message that it could not read', unreadable.length === 0, JSON.stringify(unreadable[0]))
+    check('no gateway logs a message that it could not decode', unreadable.length === 0, JSON.stringify(unreadable[0]))
 
     await checkLogs(builds, check, old1.lines)
     await checkSettingsFile(check, gateways)
@@ -94,16 +94,16 @@
   }
 }
 
-/** A changed settings file is taken on SIGHUP by both builds. */
+/** Checks that both builds reload a changed settings file on SIGHUP. */
 const checkSettingsFile = async (check, gateways) => {
   for (const gateway of gateways) {
     gateway.rewriteSettings({ 'bounds.retry_ratio': '0.3' })
     gateway.signal('SIGHUP')
   }
-  check('both builds take a changed settings file', await waitUntil(() => gateways.every((gateway) => readEventNames(gateway).includes('settings reloaded'))))
+  check('both builds reload a changed settings file', await waitUntil(() => gateways.every((gateway) => readEventNames(gateway).includes('settings reloaded'))))
 }
 
-/** Both builds tell the same of a log that the old one wrote, and of the recorded day. */
+/** Checks that both builds print the same about a log of the old build, and about the recorded log of a day. */
 const checkLogs = async (builds, check, lines) => {
   const folder = mkdtempSync(join(tmpdir(), 'dotterelspoke-upgrade-'))
   const written = join(folder, 'old.log')
@@ -116,7 +116,7 @@
   ]
   for (const words of commands) {
     const outputs = [await runCommand(builds.old, words), await runCommand(builds.new, words)]
-    check(`both builds print the same for ${words.slice(0, 2).join(' ')} of ${words.at(-1) === written ? 'a log of the old one' : 'the recorded day'}`, outputs[0].code === 0 && outputs[0].output === outputs[1].output, `codes ${outputs.map(({ code }) => code).join(', ')}`)
+    check(`both builds print the same for ${words.slice(0, 2).join(' ')} of ${words.at(-1) === written ? 'a log of the old build' : 'the recorded day'}`, outputs[0].code === 0 && outputs[0].output === outputs[1].output, `codes ${outputs.map(({ code }) => code).join(', ')}`)
   }
   rmSync(folder, { recursive: true })
 }
--- a/scripts/upgrade/checkRouters.mjs
+++ b/scripts/upgrade/checkRouters.mjs
@@ -1,4 +1,4 @@
-/** Routers of both builds in one fleet, then the new build alone on what the old one stored. */
+/** Checks that routers of both builds work in one fleet, and that the new build alone reads what the old one stored. */
 import { createHash } from 'node:crypto'
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -48,10 +48,10 @@
 
 const pause = (ms) => new Promise((resolve) => { setTimeout(resolve, ms) })
 
-/** The place of a chat is stored at a peer after the answer, by a message that nobody waits for. */
+/** Time for the directory entry of a chat to reach a peer: it is sent after the answer, without waiting for a reply. */
 const DIRECTORY_DELAY_MS = 500
 
-/** Chats begun at one router return at another, by directory or by hint, to the server that has their prefix. */
+/** Starts chats at one router and continues them at another; counts those that reach the same server again, by directory or by hint. */
 const countReturns = async (first, second, label, withHint) => {
   const chats = Array.from({ length: CHATS }, (_, index) => `${label}-${index}`)
   const turns = []
@@ -94,52 +94,52 @@
   const sheet = join(folder, 'sheet.csv')
   writeSheet(sheet, { engines, service, weight: 1 })
   const applied = await operate('old', ['sheet', 'apply', sheet], [])
-  check('a sheet is applied by the old command line', applied.code === 0, applied.output.split('\n')[0])
+  check('the old command line applies a sheet', applied.code === 0, applied.output.split('\n')[0])
   const routers = [await startRouter('old', 1), await startRouter('new', 2), await startRouter('old', 3), await startRouter('new', 4)]
   const [old1, new2, old3, new4] = routers
-  check('four routers of both builds see each other live, with generation 1', await isSettled(routers, 1))
+  check('two routers of each build see each other as live, with generation 1', await isSettled(routers, 1))
 
   for (const [first, second] of [[old1, new2], [new2, old1], [old3, new4], [new4, old3]]) {
     for (const withHint of [false, true]) {
       const returned = await countReturns(first, second, `${first.name}-${second.name}-${withHint}`, withHint)
-      check(`chats begun at ${first.name} return at ${second.name} ${withHint ? 'by hint' : 'by directory'}`, returned === CHATS, `${returned} of ${CHATS}`)
+      check(`chats started at ${first.name} and continued at ${second.name} reach the same server ${withHint ? 'by hint' : 'by directory'}`, returned === CHATS, `${returned} of ${CHATS}`)
     }
   }
   for (const [first, second] of [[old1, new2], [new4, old3]]) {
     const key = `order-${first.name}`
     const order = await sendOrder(first, key)
     const again = await sendOrder(second, key)
-    check(`an order of ${first.name} is answered again by ${second.name}`, order.status < 300 && !order.isReplay && again.isReplay && again.body === order.body, `${order.status}, ${again.status}`)
+    check(`a duplicate of an order sent to ${first.name} gets the stored answer from ${second.name}`, order.status < 300 && !order.isReplay && again.isReplay && again.body === order.body, `${order.status}, ${again.status}`)
   }
   const loads = await waitUntil(async () => {
     const tokens = (await Promise.all(routers.map(readStatus))).map(({ accountUsage }) => accountUsage.length)
     return tokens.every((count) => count > 0)
   })
-  check('usage of accounts spreads to all routers', loads)
+  check('the usage of accounts reaches all routers', loads)
 
   writeSheet(sheet, { engines, service, weight: 2 })
   const changed = await operate('new', ['sheet', 'apply', sheet, '--wait', '15'], routers)
-  check('a sheet of the new command line is in force everywhere', changed.code === 0, changed.output.trim().split('\n').at(-1))
+  check('a sheet that the new command line applies is in force at all routers', changed.code === 0, changed.output.trim().split('\n').at(-1))
   const drained = await operate('old', ['drain', 'engine-1', '--wait', '15'], routers)
-  check('a drain of the old command line is done everywhere', drained.code === 0, drained.output.trim().split('\n').at(-1))
+  check('a drain that the old command line starts completes at all routers', drained.code === 0, drained.output.trim().split('\n').at(-1))
   const ended = await operate('new', ['drain', 'engine-1', '--cancel'], routers)
-  check('the new command line ends it', ended.code === 0, ended.output.trim().split('\n').at(-1))
+  check('the new command line cancels the drain', ended.code === 0, ended.output.trim().split('\n').at(-1))
   check('all routers have generation 4', await isSettled(routers, 4))
   for (const words of [['sheet', 'status'], ['sheet', 'history'], ['sheet', 'show'], ['audit']]) {
     const outputs = [await operate('old', words, words[1] === 'status' ? routers : []), await operate('new', words, words[1] === 'status' ? routers : [])]
     check(`both command lines print the same for ${words.join(' ')}`, outputs[0].code === 0 && outputs[0].output === outputs[1].output, `codes ${outputs.map(({ code }) => code).join(', ')}`)
   }
   const unreadable = routers.flatMap(({ lines }) => lines).filter((line) => UNREADABLE.test(line))
-  check('no router logs a message that it could not read', unreadable.length === 0, unreadable[0])
+  check('no router logs a message that it could not decode', unreadable.length === 0, unreadable[0])
 
   for (const router of routers) await router.end()
   started.length = 0
   const alone = [await startRouter('new', 5), await startRouter('new', 6)]
-  check('new routers alone take the sheet that the fleet left', await isSettled(alone, 4))
+  check('new routers alone load the sheet that the fleet stored', await isSettled(alone, 4))
   const replays = [await sendOrder(alone[0], 'order-old-1'), await sendOrder(alone[1], 'order-new-4')]
-  check('they give the kept answers of orders sent before', replays.every(({ isReplay, status }) => isReplay && status < 300), replays.map(({ status }) => status).join(', '))
+  check('new routers return the stored answers for orders that were sent before', replays.every(({ isReplay, status }) => isReplay && status < 300), replays.map(({ status }) => status).join(', '))
   const fresh = await sendOrder(alone[0], 'order-after')
-  check('and run a new order', fresh.status < 300 && !fresh.isReplay, String(fresh.status))
-  check('they log nothing unreadable', alone.every(({ lines }) => !lines.some((line) => UNREADABLE.test(line))))
+  check('new routers execute a new order', fresh.status < 300 && !fresh.isReplay, String(fresh.status))
+  check('new routers log no message that they could not decode', alone.every(({ lines }) => !lines.some((line) => UNREADABLE.test(line))))
   rmSync(folder, { recursive: true })
 }
--- a/scripts/upgrade/processes.mjs
+++ b/scripts/upgrade/processes.mjs
@@ -1,4 +1,4 @@
-/** Starts the command line of a build, and ends every process that was started. */
+/** Runs commands of a build as child processes, and kills those that are still running at the end. */
 import { spawn } from 'node:child_process'
 import { once } from 'node:events'
 import { join } from 'node:path'
@@ -13,7 +13,7 @@
   return child
 }
 
-/** Starts a daemon; resolves with the JSON line that says where it listens, its log lines, and `end`. */
+/** Starts a daemon; resolves with the JSON line that has its addresses (`ready`), its log lines, and a function `end` that kills it. */
 export const startDaemon = async (folder, words, environment = {}) => {
   const child = spawnCommand(folder, words, environment)
   const lines = []
@@ -30,7 +30,7 @@
   return { ready, lines, end }
 }
 
-/** Runs a command to its end. */
+/** Runs a command until it exits. */
 export const runCommand = async (folder, words, environment = {}) => {
   const child = spawnCommand(folder, words, environment)
   let output = ''
@@ -50,7 +50,7 @@
 const POLL_INTERVAL_MS = 100
 const MAXIMUM_WAIT_MS = 30_000
 
-/** Polls until the condition holds; false when it does not within 30 s. */
+/** Polls until the condition holds; resolves to false if it does not within 30 s. */
 export const waitUntil = async (holds) => {
   const deadline = Date.now() + MAXIMUM_WAIT_MS
   while (Date.now() < deadline) {
--- a/src/bench/_lib/startProcess.ts
+++ b/src/bench/_lib/startProcess.ts
@@ -1,4 +1,4 @@
-/** Runs the built command line as processes of their own, and never leaves one behind. */
+/** Runs commands of the built program as child processes, and kills those that are left when the benchmark exits. */
 import { spawn } from 'node:child_process'
 import { createInterface } from 'node:readline'
 import { fileURLToPath } from 'node:url'
@@ -7,15 +7,15 @@
 
 export type RunningProcess = {
   readonly pid: number
-  /** The JSON line with which the process said that it listens. */
+  /** The JSON line that the process prints once it listens. */
   readonly ready: Ready
   /** The last lines of its log. */
   readonly logLines: () => readonly string[]
   readonly terminate: () => void
-  /** SIGSTOP: paused, with its connections left open. */
+  /** Pauses the process with SIGSTOP; its connections stay open. */
   readonly pause: () => void
   readonly resume: () => void
-  /** SIGKILL, resolved when the process is gone. */
+  /** Sends SIGKILL and resolves when the process has exited. */
   readonly kill: () => Promise<void>
   readonly hasExited: () => boolean
   readonly whenExited: Promise<number | null>
@@ -23,7 +23,7 @@
 
 export type FinishedCommand = { readonly code: number | null, readonly stdout: string, readonly stderr: string }
 
-/** The built program, found alike from the sources and from what is built of them. */
+/** The built program; the relative path is right from src/ as well as from dist/. */
 const MAIN = fileURLToPath(new URL('../../../dist/cli/main.js', import.meta.url))
 const KEPT_LOG_LINES = 200
 
@@ -34,7 +34,7 @@
     try {
       process.kill(pid, 'SIGKILL')
     } catch {
-      // It was gone already.
+      // The process has already exited.
     }
   }
 }
@@ -61,11 +61,11 @@
 }
 
 /**
- * Starts a daemon and waits until it says that it listens.
+ * Starts a daemon and waits until it reports that it listens.
  *
- * @param commandArguments - What follows `dotterelspoke` on the command line.
+ * @param commandArguments - Arguments of `dotterelspoke`.
  * @param environment - Variables added to the environment.
- * @returns The process.
+ * @returns The running process.
  */
 export const startProcess = async (commandArguments: readonly string[], environment: Readonly<Record<string, string>> = {}): Promise<RunningProcess> => {
   const { child, pid, whenExited, signal } = spawnMain(commandArguments, environment)
@@ -99,9 +99,9 @@
 }
 
 /**
- * Runs a command to its end.
+ * Runs a command until it exits.
  *
- * @param commandArguments - What follows `dotterelspoke` on the command line.
+ * @param commandArguments - Arguments of `dotterelspoke`.
  * @param environment - Variables added to the environment.
  * @returns Exit code and output.
  */
--- a/src/bench/_lib/startRig.ts
+++ b/src/bench/_lib/startRig.ts
@@ -1,4 +1,4 @@
-/** A platform, backend servers and routers, each a process of its own, with a sheet in force. */
+/** Starts a platform, backend servers and routers, each as a separate process, with a configuration sheet in force. */
 import { createPlatformHttp } from '../../adapters/platformHttp/index.js'
 import { createSystemClock } from '../../adapters/systemClock/index.js'
 import { createSystemRandom } from '../../adapters/systemRandom/index.js'
@@ -13,7 +13,7 @@
   readonly engines: number
   readonly services: number
   readonly accounts: number
-  /** Slots of an engine, in its flags and in the sheet. */
+  /** Slots of each model engine, in its flags and in the sheet. */
   readonly slots: number
   /** Further flags of `dotterelspoke emulate engine`. */
   readonly engineFlags: readonly string[]
@@ -29,7 +29,7 @@
   readonly stop: () => Promise<void>
 }
 
-/** The models of the rig's routes, and the paths of its plain calls, are those that the load tool asks for by default. */
+/** Model of the first route. The models and paths of all routes are the defaults of the load tool. */
 export const RIG_MODEL = 'chat'
 
 const ZONE = 'bench-a'
@@ -42,8 +42,8 @@
 /**
  * Starts the processes and puts a sheet in force.
  *
- * @param options - How many of each, and the engines' flags.
- * @returns Where they listen, and how to stop them all.
+ * @param options - Number of processes of each kind, and the flags of the model engines.
+ * @returns The addresses of the processes, the keys of the client accounts, and a function that stops them all.
  *
  * @example
  * const rig = await startRig({ routers: 1, engines: 3, services: 0, accounts: 1, slots: 16, engineFlags: [] })
@@ -128,7 +128,7 @@
   const store = createConfigurationStore({ platform, auditTrail: createAuditTrail(platform), clock: createSystemClock(), random: createSystemRandom(), hashContent: computeSha256 })
   const outcome = await store.applySheet({ sheet, plannedAgainst: 0, appliedBy: 'bench', applyId: 'bench', action: 'sheet apply' })
   await platform.close()
-  if (outcome.kind !== 'applied') throw new Error(`the sheet was not applied: ${outcome.kind}`)
+  if (outcome.kind !== 'applied') throw new Error(`the benchmark sheet was not applied: ${outcome.kind}`)
 }
 
 const waitUntilReady = async (operatorUrl: string): Promise<void> => {
@@ -139,5 +139,5 @@
     if (response.ok) return
     await new Promise<void>((resolve) => { clock.setTimer(READINESS_POLL_MS, resolve) })
   }
-  throw new Error('a router did not become ready')
+  throw new Error('a router of the benchmark did not become ready in time')
 }
--- a/src/bench/_lib/statistics.ts
+++ b/src/bench/_lib/statistics.ts
@@ -1,7 +1,7 @@
-/** Small sums that the measurements share. */
+/** Arithmetic that the benchmarks share. */
 
-/** Rounds for a table; two digits by default. */
+/** Rounds a value for a table; two digits by default. */
 export const round = (value: number, digits = 2): number => Number(value.toFixed(digits))
 
-/** The arithmetic mean; 0 of nothing. */
+/** Arithmetic mean; 0 for an empty list. */
 export const mean = (values: readonly number[]): number => values.reduce((sum, value) => sum + value, 0) / Math.max(1, values.length)
--- a/src/bench/configuration/_lib/createBenchSheet.ts
+++ b/src/bench/configuration/_lib/createBenchSheet.ts
@@ -1,4 +1,4 @@
-/** Sheets of the design size's proportions: 600 backend servers and 33 models beside the accounts. */
+/** Creates configuration sheets with the given number of client accounts, and the 600 backend servers and 33 models of the largest fleet that the system is designed for. */
 import { computeSha256 } from '../../../kernel/index.js'
 import type { Sheet } from '../../../types/index.js'
 
--- a/src/bench/configuration/_lib/measureRollout.ts
+++ b/src/bench/configuration/_lib/measureRollout.ts
@@ -1,6 +1,6 @@
 /**
- * How a change spreads over a fleet: real membership and configuration
- * services on a manual clock, over a network and a platform in memory.
+ * Measures how a configuration change spreads over a fleet. The membership and
+ * configuration services are the real ones; clock, network and platform are in memory.
  */
 import { createSeededRandom } from '../../../adapters/seededRandom/index.js'
 import { createManualClock, type ManualClock } from '../../../emulator/createManualClock/index.js'
@@ -19,19 +19,19 @@
 export type RolloutMeasurement = {
   readonly nodes: number
   readonly zones: number
-  /** Milliseconds of the manual clock from the acceptance until each node had it, sorted. */
+  /** Milliseconds on the manual clock from acceptance of the change until each node has it in force, sorted. */
   readonly delaysMs: readonly number[]
-  /** Calls of all nodes at the platform that the change caused, by kind. */
+  /** Calls of all nodes to the platform because of the change, by kind. */
   readonly rootReads: number
   readonly chunkReads: number
   readonly watchers: number
-  /** Calls a second of all nodes while nothing changes, waiting watches counted when they are renewed. */
+  /** Calls per second of all nodes while nothing changes; an open watch counts each time it is renewed. */
   readonly steadyCallsPerSecond: number
 }
 
 export type RolloutOptions = { readonly nodes: number, readonly zones: number, readonly seed: number }
 
-/** Longer than a watch, so that nodes that need none have given it up. */
+/** Longer than a watch, so that nodes that do not need a watch have ended theirs. */
 const SETTLING_MS = 35_000
 const STEADY_MS = 30_000
 const STEP_MS = 20
@@ -113,7 +113,7 @@
     logger: silentLogger,
     hashContent: computeSha256
   }, { ...place, ...TIMES })
-  // Nodes of a fleet are not started in the same instant.
+  // Nodes of a real fleet do not start at the same instant.
   clock.setTimer(random.next() * HEARTBEAT.heartbeatIntervalMs, () => {
     membership.start?.()
     configuration.start?.()
@@ -124,10 +124,10 @@
 const applyChange = async ({ clock, platform }: Fleet, weight: number, against: number): Promise<void> => {
   const store = createConfigurationStore({ platform, auditTrail: createAuditTrail(platform), clock, random: createSeededRandom(weight), hashContent: computeSha256 })
   const outcome = await store.applySheet({ sheet: createBenchSheet(ACCOUNTS, weight), plannedAgainst: against, appliedBy: 'bench', applyId: `bench-${weight}`, action: 'sheet apply' })
-  if (outcome.kind !== 'applied') throw new Error(`the bench's sheet was not applied: ${outcome.kind}`)
+  if (outcome.kind !== 'applied') throw new Error(`the benchmark sheet was not applied: ${outcome.kind}`)
 }
 
-/** Runs until every node has the generation, and gives when each had it. */
+/** Runs the clock until every node has the generation in force, and returns the delay of each in milliseconds. */
 const awaitGeneration = async ({ clock, holders }: Fleet, generation: number): Promise<readonly number[]> => {
   const startedAt = clock.now()
   const delays = new Map<number, number>()
--- a/src/bench/configuration/_lib/measureSheet.ts
+++ b/src/bench/configuration/_lib/measureSheet.ts
@@ -1,4 +1,4 @@
-/** Bytes and time of the work on one sheet, on this machine. */
+/** Measures the sizes of one configuration sheet and the time that work on it takes on this machine. */
 import { setFlagsFromString } from 'node:v8'
 import { runInNewContext } from 'node:vm'
 import { compareSheets } from '../../../decisions/compareSheets/index.js'
@@ -23,11 +23,11 @@
   readonly checkMs: number
   readonly splitMs: number
   readonly compareMs: number
-  /** Memory of a node for the configuration: the bytes of all chunks, the decoded records and the sheet. */
+  /** Memory that a node uses for the configuration: the bytes of all chunks, the decoded records and the sheet. */
   readonly heldBytes: number
-  /** A node that boots: all chunks hashed and decoded, then joined. */
+  /** Time of a starting node: it hashes and decodes all chunks, then joins them. */
   readonly bootMs: number
-  /** A node that takes in one changed row: one chunk hashed and decoded, then all joined. */
+  /** Time of a node that applies one changed row: it hashes and decodes one chunk, then joins all. */
   readonly changeMs: number
 }
 
@@ -45,7 +45,7 @@
 
 const decode = ({ bytes, hash }: ConfigurationChunk): readonly ChunkRecord[] => {
   const records = decodeChunk(bytes)
-  if (!records.ok || computeSha256(bytes) !== hash) throw new Error('a chunk that was just written cannot be read')
+  if (!records.ok || computeSha256(bytes) !== hash) throw new Error('a newly encoded chunk cannot be decoded or does not match its hash')
   return records.value
 }
 
@@ -64,7 +64,7 @@
   const decoded = chunks.map(decode)
   const held = [chunks, decoded, joinChunksToSheet(decoded)]
   const after = readMemory()
-  if (held.length === 0) throw new Error('the measured values were dropped before the measurement')
+  if (held.length === 0) throw new Error('the measured values were garbage-collected before the measurement')
   return after - before
 }
 
--- a/src/bench/configuration/index.ts
+++ b/src/bench/configuration/index.ts
@@ -1,4 +1,4 @@
-/** Measures the configuration: work on sheets of growing size, and how a change spreads over growing fleets. */
+/** Measures the work on configuration sheets of growing size, and how a change spreads over growing fleets. */
 import type { BenchOptions, Cell, Table } from '../types.js'
 import { measureRollout, type RolloutMeasurement } from './_lib/measureRollout.js'
 import { measureSheet } from './_lib/measureSheet.js'
@@ -9,10 +9,10 @@
 const FAST_FLEETS = FLEETS.slice(0, 2)
 
 /**
- * Runs the bench.
+ * Runs the benchmark.
  *
- * @param options - `fast` leaves out the largest sizes; `seed` of the random sources.
- * @returns One table of bytes, one of times on this machine, one of the spreading on a manual clock.
+ * @param options - `fast` leaves out the largest sizes; `seed` seeds the random sources.
+ * @returns A table of sizes in bytes, one of times on this machine, and one of rollout delays on a manual clock.
  *
  * @example
  * const tables = await runConfigurationBench({ fast: true, seed: 1 })
--- a/src/bench/controlTraffic/createFleet.ts
+++ b/src/bench/controlTraffic/createFleet.ts
@@ -1,6 +1,6 @@
 /**
- * Many nodes in one process with their membership, load exchange and backend
- * health, on one manual clock and a network in memory.
+ * Creates a fleet of routers in one process: their membership, load exchange,
+ * backend health and chat directory, on one manual clock and a network in memory.
  */
 import { createSeededRandom } from '../../adapters/seededRandom/index.js'
 import { createManualClock } from '../../emulator/createManualClock/index.js'
@@ -36,11 +36,11 @@
   readonly servers: readonly BackendServer[]
   readonly nodes: readonly FleetNode[]
   readonly startNode: (index: number) => FleetNode
-  /** Requests that are truly in flight on a server. */
+  /** Exact number of requests in flight on a server, over all nodes. */
   readonly countTruth: (backendServer: string) => number
 }
 
-/** Small, since the directory sets its memory aside at the start: 360 of the usual size would not fit in one process. */
+/** Small, because the directory allocates its memory at the start: 360 directories of the usual size would not fit in one process. */
 const DIRECTORY_ENTRIES = 1000
 const SETTINGS = { heartbeatIntervalMs: 500, suspectAfterMs: 1500, deadAfterMs: 4000, loadReportIntervalMs: 1000, connectTimeoutMs: 1000, peerTimeoutMs: 250, directoryEntries: DIRECTORY_ENTRIES, directoryTtlMs: 7_200_000 }
 const SEED_COUNT = 3
@@ -81,7 +81,7 @@
     const seedPeers = Array.from({ length: SEED_COUNT }, (_, place) => addressOf(place))
     const settings = { ...SETTINGS, nodeId: name, availabilityZone: zoneName(index, size.zones), seedPeers }
     const membership = createMembership({ clock, random: nodeRandom, transport, exchange, vmList }, { settings, address: transport.address, generation: () => 1 })
-    // The load view and the exchange of a large fleet read each other, so one is looked up late.
+    // The load view and the load exchange of a large fleet depend on each other, so the exchange reads the view through a function.
     const readCounts = (): ReadonlyMap<string, number> => loadView.readPublishedCounts()
     const fleetLoad = createFleetLoad({ clock, transport, membership: membership.api, readServers: () => holder.current()?.sheet.backendServers ?? [], readCounts }, { fullMeshPeers: DEFAULT_FAN_OUT.fullMeshPeers })
     const loadView: RunningLoadView = createLoadView({ clock, transport, membership: membership.api, exchange, fleetLoad: fleetLoad.api }, { settings })
--- a/src/bench/controlTraffic/index.ts
+++ b/src/bench/controlTraffic/index.ts
@@ -1,7 +1,7 @@
 /**
- * What knowing each other costs the routers: bytes, processor time and memory
- * of control traffic by size of the fleet, how exact the load counts are, and
- * how long news takes to reach every node.
+ * Measures the control traffic between routers by size of the fleet: bytes,
+ * processor time and memory, the error of the load estimates, and the time that
+ * a change takes to reach every node.
  */
 import { mean, round } from '../_lib/statistics.js'
 import { createFleet } from './createFleet.js'
@@ -17,13 +17,13 @@
   { nodes: 360, servers: 600, zones: 8 }
 ]
 
-/** Sizes of the fast setting: today's, and one beyond the full mesh. */
+/** Sizes of the fast setting: the smallest fleet, and one that is too large for a full mesh of peers. */
 const FAST_SIZES = SIZES.slice(0, 2)
 
 const DIRECTORY_KINDS = ['directoryLookup', 'directoryLookupReply', 'directoryStore']
 
 const START_SPREAD_MS = 1000
-/** The news of the start must have died down. */
+/** Long enough that the updates about the start of the fleet are no longer sent. */
 const WARM_UP_MS = 60_000
 const MEASURED_MS = 10_000
 const STEP_MS = 50
@@ -58,7 +58,7 @@
 const perSecond = (before: readonly Mark[], after: readonly Mark[], field: keyof Mark, ms: number): readonly number[] =>
   after.map((mark, index) => (mark[field] - before[index]![field]) / (ms / MS_PER_SECOND))
 
-/** Relative errors of all estimates of all nodes, at one moment. */
+/** Relative errors of the load estimates of all nodes, at one moment. */
 const measureErrors = (fleet: Fleet): readonly number[] => {
   const truths = fleet.servers.map(({ name }) => ({ name, truth: fleet.countTruth(name) })).filter(({ truth }) => truth > 0)
   return fleet.nodes.flatMap((node) => truths.map(({ name, truth }) => Math.abs(node.loadView.estimateInFlight(name) - truth) / truth))
@@ -86,7 +86,7 @@
   ]
 }
 
-/** Moves the clock until the condition holds; gives the milliseconds, or a text when it never did. */
+/** Advances the clock until the condition holds; returns the milliseconds, or a text after a time-out. */
 const waitUntil = async (fleet: Fleet, isTrue: () => boolean): Promise<number | string> => {
   const startedAt = fleet.clock.now()
   while (fleet.clock.now() - startedAt < LONGEST_WAIT_MS) {
@@ -118,14 +118,14 @@
 }
 
 /**
- * Runs the measurement.
+ * Runs the benchmark.
  *
- * Nodes run in one process on a manual clock; bytes are those of the frames,
- * without TCP and IP headers, and processor time includes the network in
- * memory, the clock and the requests that the bench makes up.
+ * Nodes run in one process on a manual clock. Bytes are those of the frames,
+ * without TCP and IP headers. Processor time includes the network in memory,
+ * the clock and the generated requests.
  *
- * @param options - `fast` measures the two smallest sizes; `only` one size, by its number of nodes; `seed` fixes the run.
- * @returns One table of steady traffic, one of how fast news spreads.
+ * @param options - `fast` measures the two smallest sizes; `only` one size, by its number of nodes; `seed` makes the run reproducible.
+ * @returns A table of steady traffic, and one of the times until a change has reached every node.
  *
  * @example
  * const [steady] = await runControlTrafficBench({ fast: true, seed: 1 })
--- a/src/bench/crowd/_lib/playCrowd.ts
+++ b/src/bench/crowd/_lib/playCrowd.ts
@@ -1,8 +1,8 @@
 /**
- * A crowd of returning prompts before a fleet of gateway nodes on a manual clock,
- * while engines are added: how many requests reach an engine that holds more than
- * the promised multiple of the mean. Nodes know each other's requests as late as
- * they do in a real fleet.
+ * Simulates bursts of requests with shared prompt prefixes at a fleet of gateway
+ * nodes on a manual clock, while engines are added and leave. Counts the requests
+ * that reach an engine whose load is above the promised multiple of the mean. Nodes
+ * learn of each other's requests with the same delay as in a real fleet.
  */
 import { createSeededRandom } from '../../../adapters/seededRandom/index.js'
 import { createKnowledgeFleet, type KnowledgeFleet } from '../../../emulator/createKnowledgeFleet/index.js'
@@ -16,31 +16,31 @@
   readonly nodesPerZone: number
   readonly zones: number
   readonly engines: number
-  /** Engines that are added while the crowd lasts, one after the other. */
+  /** Engines that are added during the simulation, one after the other. */
   readonly addedEngines: number
-  /** Engines that begin to leave while it lasts, one after the other; each serves on until the end. */
+  /** Engines that begin to leave during the simulation, one after the other; each serves until the end. */
   readonly leavingEngines: number
   readonly requestsPerSecond: number
-  /** Prompts that are asked for again and again. */
+  /** Number of shared prompt prefixes; each request has one of them. */
   readonly subjects: number
-  /** How much more often the first ones are asked for: 0 where all are alike, 1 where the first tenth gets a third. */
+  /** Skew towards the first subjects: at 0 all are equally frequent, at 1 the first tenth gets a third of the requests. */
   readonly skew: number
-  /** Mean milliseconds that a request stays at its engine. */
+  /** Mean time in milliseconds that a request is in flight at its engine. */
   readonly holdMs: number
   readonly playedMs: number
 }
 
 export type CrowdOutcome = {
   readonly requests: number
-  /** Of these, at engines over the multiple when they arrived. */
+  /** Requests whose engine was over the limit when they arrived. */
   readonly overLimit: number
-  /** Highest share over the limit in any five seconds. */
+  /** Highest share of requests over the limit in any window of five seconds. */
   readonly worstShare: number
-  /** Tokens of shared parts that their engine did not keep. */
+  /** Tokens of shared prefixes that the selected engine did not have in its cache and had to prefill. */
   readonly tokensRead: number
 }
 
-/** The promise: no engine over so many times the mean, and so many requests more. */
+/** The promised limit on the load of an engine: this multiple of the mean, plus LOAD_SLACK requests. */
 const LOAD_FACTOR = 2
 const LOAD_SLACK = 3
 const SLOTS = 16
@@ -95,7 +95,7 @@
 
 const nameEngine = (index: number): string => `engine-${String(index).padStart(3, '0')}`
 
-/** What engines hold in truth, whatever the nodes believe. */
+/** Tracks the exact loads and caches of the engines, apart from the estimates of the nodes. */
 const createEngines = (fleet: KnowledgeFleet, zones: number) => {
   const held = new Map<string, number>()
   const kept = new Set<string>()
@@ -111,7 +111,7 @@
     },
     leave: (index: number): void => { fleet.putInstance(nameEngine(index), { availabilityZone: `zone-${index % zones}`, slots: SLOTS, isLeaving: true }) },
     change: (key: string, difference: number): void => { held.set(key, (held.get(key) ?? 0) + difference) },
-    /** Whether the engine kept the subject; it does from now on. */
+    /** Returns whether the engine has the subject cached, and caches it. */
     keep: (key: string, subject: number): boolean => {
       const place = `${key} ${subject}`
       const wasKept = kept.has(place)
@@ -122,10 +122,10 @@
 }
 
 /**
- * Plays a crowd.
+ * Runs the simulation.
  *
  * @param options - Sizes, rates and times in milliseconds.
- * @returns What reached engines over the promised multiple.
+ * @returns The number of requests, and those that reached an engine over the limit.
  *
  * @example
  * (await playCrowd(options)).worstShare // => 0.01
--- a/src/bench/crowd/index.ts
+++ b/src/bench/crowd/index.ts
@@ -1,4 +1,4 @@
-/** How well a fleet keeps the load multiple before returning prompts, while engines are added and leave. */
+/** Measures how often engines exceed the load limit when prompts with shared prefixes arrive in bursts while engines are added and leave. */
 import { playCrowd, type CrowdOptions } from './_lib/playCrowd.js'
 import { round } from '../_lib/statistics.js'
 import type { Bench, Cell } from '../types.js'
@@ -26,7 +26,7 @@
   return [formatShare(sum((outcome) => outcome.overLimit) / requests), formatShare(Math.max(...outcomes.map(({ worstShare }) => worstShare))), round(sum((outcome) => outcome.tokensRead) / requests, 0)]
 }
 
-/** Prints a row for each size and each skew of the prompts; means of three seeds. */
+/** Runs the benchmark; returns one table with a row for each size and skew, over three seeds. */
 export const runCrowdBench: Bench = async ({ fast, seed }) => {
   const rows: Cell[][] = []
   for (const size of fast ? FAST_SIZES : SIZES) {
--- a/src/bench/directory/index.ts
+++ b/src/bench/directory/index.ts
@@ -1,4 +1,4 @@
-/** Memory and processor time of one node's part of the chat directory, by the number of its entries. */
+/** Measures memory and processor time of one node's share of the chat directory, by number of entries. */
 import { createSeededRandom } from '../../adapters/seededRandom/index.js'
 import { createManualClock } from '../../emulator/createManualClock/index.js'
 import { createMemoryPeerNetwork } from '../../emulator/createMemoryPeerNetwork/index.js'
@@ -20,7 +20,7 @@
   return createChatDirectory({ clock, transport, membership }, { settings: { directoryEntries, directoryTtlMs: 7_200_000, peerTimeoutMs: 250 } }).api
 }
 
-/** Heap and buffers in use; exact only when node runs with --expose-gc. */
+/** Bytes of heap and buffers in use; exact only when Node.js runs with --expose-gc. */
 const readMemory = (): number => {
   globalThis.gc?.()
   const { heapUsed, arrayBuffers } = process.memoryUsage()
@@ -40,11 +40,11 @@
 }
 
 /**
- * Measures the directory at three sizes; 42,000 entries are a node's part of
- * 15 million chats over 360 nodes.
+ * Runs the benchmark for directories of three sizes; 42,000 entries are one
+ * node's share of 15 million chats over 360 nodes.
  *
- * @param options - The seed.
- * @returns One table.
+ * @param options - `seed` makes the run reproducible.
+ * @returns One table, a row per size.
  */
 export const runDirectoryBench = async ({ seed }: BenchOptions): Promise<readonly Table[]> => {
   const rows: (readonly Cell[])[] = []
--- a/src/bench/fairness/_lib/createFirstComeAdmission.ts
+++ b/src/bench/fairness/_lib/createFirstComeAdmission.ts
@@ -1,4 +1,4 @@
-/** The policy to compare with: one queue in order of arrival, bounded like the real one. */
+/** Baseline for the fairness benchmark: admission from one queue in order of arrival, with the same bound as the real admission. */
 import { failure, success } from '../../../kernel/index.js'
 import type { AdmissionDemand, AdmissionRefusal, AdmissionTicket, Admission, Clock, Result } from '../../../types/index.js'
 
--- a/src/bench/fairness/_lib/measure.ts
+++ b/src/bench/fairness/_lib/measure.ts
@@ -1,4 +1,4 @@
-/** Figures of one run, over the requests that came in a window of time. */
+/** Computes the results of one run over the requests that arrived in a time window. */
 import type { Served } from './runTrial.js'
 import { accounts } from './workload.js'
 import type { Account } from './workload.js'
@@ -9,7 +9,7 @@
   readonly firstTokenP50: number
   readonly firstTokenP95: number
   readonly refusedShare: number
-  /** Tokens of complete answers over tokens asked for. */
+  /** Tokens of complete answers, as a share of the tokens requested. */
   readonly servedShare: number
   readonly tokens: number
 }
@@ -44,7 +44,7 @@
 
 type Demand = { readonly weight: number, readonly tokens: number }
 
-/** Weighted max-min shares: what each would get of `capacity`, none more than it asked for. */
+/** Splits `capacity` into weighted max-min shares; no share exceeds its demand. */
 const computeMaxMinShares = (demands: readonly Demand[], capacity: number): readonly number[] => {
   const shares = demands.map(() => 0)
   let open = demands.map((_, index) => index)
@@ -66,7 +66,7 @@
   return shares
 }
 
-/** Jain's index of each account's work over its weighted max-min share of all work that was done. */
+/** Jain's index of the ratio between each account's completed work and its weighted max-min share of all completed work. */
 export const measureFairness = (served: readonly Served[], window: Window): number => {
   const inWindow = served.filter((result) => isInWindow(result, window))
   const of = (account: Account): readonly Served[] => inWindow.filter(({ arrival }) => arrival.account === account)
@@ -76,7 +76,7 @@
   return computeJainIndex(work.map((tokens, index) => tokens / shares[index]!))
 }
 
-/** Jain's index of work over weight alone, for runs in which every account asks for more than its share. */
+/** Jain's index of completed work by weight, for runs in which every account requests more than its share. */
 export const measureWeightFairness = (served: readonly Served[], window: Window): number => {
   const complete = served.filter((result) => isInWindow(result, window) && result.outcome === 'complete')
   return computeJainIndex(accounts.map((account) => countTokens(complete.filter(({ arrival }) => arrival.account === account)) / account.weight))
--- a/src/bench/fairness/_lib/runTrial.ts
+++ b/src/bench/fairness/_lib/runTrial.ts
@@ -1,4 +1,4 @@
-/** One run: three routers before one pool of engines, on a manual clock. */
+/** Runs one simulation of the fairness benchmark: three routers in front of one pool of engines, on a manual clock. */
 import { createManualClock } from '../../../emulator/createManualClock/index.js'
 import { createAdmission, defaultAdmissionOptions } from '../../../services/admission/index.js'
 import type { Admission, Clock, Configuration } from '../../../types/index.js'
@@ -6,12 +6,12 @@
 import { accounts } from './workload.js'
 import type { Arrival } from './workload.js'
 
-/** Which router a request reaches, given its place in the order of arrival. */
+/** Returns the index of the router that a request reaches, given its position in the order of arrival. */
 export type Balancer = (arrival: Arrival, index: number) => number
 
 export type Policy = 'fair' | 'fairAlone' | 'firstCome'
 
-/** What became of one request; times in milliseconds. */
+/** Outcome of one request; times in milliseconds. */
 export type Served = {
   readonly arrival: Arrival
   readonly outcome: 'complete' | 'refused'
@@ -20,19 +20,19 @@
 
 const ROUTERS = 3
 
-/** Spreads requests over all routers by turns. */
+/** Spreads requests over all routers in round-robin order. */
 export const balanceByTurns: Balancer = (_arrival, index) => index % ROUTERS
 
 const SLOTS = 48
 const PREFILL_MS_PER_TOKEN = 0.5
 const DECODE_MS_PER_TOKEN = 30
 const DEADLINE_MS = 20_000
-/** How late routers know what the others have in flight, and what accounts use there. */
+/** Intervals at which routers exchange their counts of requests in flight and the usage of accounts. */
 const COUNT_DELAY_MS = 250
 const USAGE_INTERVAL_MS = 1_000
 const STEP_MS = 5
 const SERVICE = 'desk'
-/** What a router expects of an answer that has no given length. */
+/** Output tokens that a router assumes for an answer of unknown length. */
 const EXPECTED_OUTPUT_TOKENS = 100
 
 type Router = { readonly admission: Admission, inFlight: number, publishedInFlight: number }
@@ -100,12 +100,12 @@
 }
 
 /**
- * Runs all arrivals under one policy until each has its end.
+ * Runs all arrivals under one policy until each request has an outcome.
  *
  * @param arrivals - Requests in order of time.
- * @param policy - How waiting requests are taken.
- * @param balance - Which router a request reaches.
- * @returns What became of each request.
+ * @param policy - Order in which waiting requests are admitted.
+ * @param balance - Selects the router of a request.
+ * @returns The outcome of each request.
  */
 export const runTrial = async (arrivals: readonly Arrival[], policy: Policy, balance: Balancer = balanceByTurns): Promise<readonly Served[]> => {
   const clock = createManualClock()
--- a/src/bench/fairness/_lib/workload.ts
+++ b/src/bench/fairness/_lib/workload.ts
@@ -1,4 +1,4 @@
-/** Who asks for what, and when: ten accounts, two of which may surge tenfold for a while. */
+/** Generates the requests of ten accounts, two of which may temporarily send several times as many. */
 import type { RandomSource } from '../../../types/index.js'
 
 export type Account = { readonly name: string, readonly weight: number, readonly surges: boolean }
@@ -14,9 +14,9 @@
   readonly durationMs: number
   readonly surgeFromMs: number
   readonly surgeToMs: number
-  /** Factor of the surge; 1 for none. */
+  /** Factor by which the rate of the surging accounts rises; 1 for no surge. */
   readonly surge: number
-  /** Requests a second of one account, without a surge. */
+  /** Requests per second of one account, without the surge. */
   readonly rateOf: (account: Account) => number
 }
 
@@ -41,7 +41,7 @@
   return options.rateOf(account) * (isSurging ? options.surge : 1)
 }
 
-/** Poisson arrivals of one account, thinned from the surge's rate. */
+/** Poisson arrivals of one account, drawn at the rate of the surge and thinned outside of it. */
 const createAccountArrivals = (account: Account, random: RandomSource, options: WorkloadOptions): readonly Arrival[] => {
   const highestRate = options.rateOf(account) * Math.max(1, options.surge)
   const arrivals: Arrival[] = []
@@ -57,10 +57,10 @@
 }
 
 /**
- * Draws all arrivals of a run.
+ * Generates all arrivals of a run.
  *
- * @param createRandom - Gives each account a source of its own, so that a surge changes nobody else's requests.
- * @param options - Rates and times, in milliseconds.
+ * @param createRandom - Creates a separate random source for each account, so that a surge does not change the requests of other accounts.
+ * @param options - Rates in requests per second, and times in milliseconds.
  * @returns The arrivals in order of time.
  */
 export const createArrivals = (createRandom: (index: number) => RandomSource, options: WorkloadOptions): readonly Arrival[] =>
--- a/src/bench/fairness/index.ts
+++ b/src/bench/fairness/index.ts
@@ -1,7 +1,7 @@
 /**
- * Fair shares under a surge: what the calm accounts feel when two others send
- * ten times as much, with the real admission at three routers, each router
- * left to itself, and first come first served.
+ * Measures how the other accounts are affected when two accounts send ten times
+ * as many requests. Compares the real admission at three routers, the same without
+ * exchange between the routers, and first come first served.
  */
 import { createSeededRandom } from '../../adapters/seededRandom/index.js'
 import type { RandomSource } from '../../types/index.js'
@@ -15,12 +15,12 @@
 
 const SURGE = 10
 const RATE_PER_WEIGHT = 0.75
-/** Requests a second of each account, above even a large account's share. */
+/** Requests per second of each account, above the share of even a large account. */
 const SATURATING_RATE = 4
 const WARM_UP_MS = 20_000
 const SURGE_MS = { fast: 30_000, full: 120_000 }
 const COOL_DOWN_MS = 10_000
-/** Sources of different accounts must not run in step. */
+/** Separates the seeds of the accounts, so that their random sources are not correlated. */
 const SEED_STRIDE = 7_919
 
 const policies: readonly { readonly policy: Policy, readonly title: string }[] = [
@@ -66,7 +66,7 @@
   }
 }
 
-/** A balancer that keeps the calm accounts of weight 1 on one router, as sticky connections would. */
+/** Sends the requests of the calm accounts of weight 1 to one router, as sticky connections would. */
 const keepCalmOnOneRouter: Balancer = (arrival, index) => arrival.account.name.startsWith('calm') ? 0 : balanceByTurns(arrival, index)
 
 const balancers: readonly { readonly balance: Balancer, readonly title: string }[] = [
@@ -97,10 +97,10 @@
 }
 
 /**
- * Runs the fairness bench.
+ * Runs the benchmark.
  *
  * @param options - Size and seed.
- * @returns One table for the surge, one for saturation.
+ * @returns A table for the surge, and one for saturation.
  *
  * @example
  * const tables = await runFairnessBench({ fast: true, seed: 1 })
--- a/src/bench/fairness/test.ts
+++ b/src/bench/fairness/test.ts
@@ -4,8 +4,8 @@
 const SEED = 1
 
 describe('runFairnessBench', () => {
-  // Callers of calm accounts would wait for seconds behind a surge.
-  it('keeps a surge from the calm accounts, where first come first served does not', async () => {
+  // Without fair queueing, the requests of other accounts wait for seconds behind the burst of one account.
+  it('isolates the calm accounts from a surge, unlike first come first served', async () => {
     const [surge] = await runFairnessBench({ fast: true, seed: SEED })
     const calmTimes = new Map(surge!.rows.map((row) => [`${row[0]}, ${row[1]}`, Number(row[3])]))
     const calmRefused = new Map(surge!.rows.map((row) => [`${row[0]}, ${row[1]}`, Number(row[4])]))
--- a/src/bench/fleetLoad/index.ts
+++ b/src/bench/fleetLoad/index.ts
@@ -1,6 +1,6 @@
 /**
- * The load tool against a fleet of real processes of about the size of one of
- * today's users: six routers, six model engines and three plain services.
+ * Runs the load tool against a fleet of real processes of about the size of a
+ * small site: six routers, six model engines and three plain services.
  */
 import { round } from '../_lib/statistics.js'
 import { createSeededRandom } from '../../adapters/seededRandom/index.js'
@@ -28,11 +28,10 @@
 /**
  * Runs the same seeded load at two rates, with and without the chat hint.
  *
- * Each run starts a fleet of its own, so that none finds the caches of
- * another warm.
+ * Each run starts a new fleet, so that all begin with empty caches.
  *
- * @param options - `fast` sends for 15 s in place of 60 s a run.
- * @returns One table of what callers see, one of how the engines were used.
+ * @param options - `fast` sends for 15 s instead of 60 s per run.
+ * @returns A table of outcomes and latencies of the callers, and one of cache use and load skew of the engines.
  *
  * @example
  * await runFleetLoadBench({ fast: true, seed: 1 })
--- a/src/bench/gatewayControl/index.ts
+++ b/src/bench/gatewayControl/index.ts
@@ -1,7 +1,7 @@
 /**
- * What a gateway node spends on control as the fleet grows: bytes to its peers
- * by kind of message, calls to the platform's store, processor time, and how
- * well it knows the load of all others.
+ * Measures the control traffic of a gateway node by size of the fleet: bytes to
+ * its peers by kind of message, calls to the platform's store, processor time, and
+ * the error of its load estimates.
  */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { createKnowledgeFleet, type KnowledgeFleet } from '../../emulator/createKnowledgeFleet/index.js'
@@ -12,7 +12,7 @@
 
 type GatewayFleetSize = { readonly nodes: number, readonly servers: number, readonly zones: number }
 
-/** The sites of today, their growth, and the size to design for; servers grow with the nodes. */
+/** Sizes from small sites up to the largest that the system is designed for; the number of servers grows with the nodes. */
 const SIZES: readonly GatewayFleetSize[] = [
   { nodes: 9, servers: 9, zones: 3 },
   { nodes: 30, servers: 30, zones: 3 },
@@ -27,12 +27,12 @@
 const MS_PER_SECOND = 1_000
 const MICROSECONDS_PER_MS = 1_000
 const BYTES_PER_KILOBYTE = 1_024
-/** TCP and IP headers of a message that goes out alone. */
+/** TCP and IP headers of a message in a packet of its own. */
 const HEADER_BYTES = 40
-/** Requests a second that one node starts, and how long each lasts: the kiosk network's, grown. */
+/** Requests per second that one node starts, and their duration: an extrapolation from the kiosk network. */
 const REQUESTS_PER_SECOND = 4.4
 const REQUEST_MS = 1_000
-/** Subjects that prompts are about; each keeps to one server here. */
+/** Number of shared prompt prefixes; in this benchmark each is always sent to the same server. */
 const SUBJECTS = 300
 
 const createRandom = (seed: number): (() => number) => {
@@ -40,7 +40,7 @@
   return () => (generator.next() >>> 0) / 2 ** 32
 }
 
-/** Starts requests on each node at the usual rate until it is stopped. */
+/** Starts requests on each node at the given rate until stopped. */
 const runRequests = (fleet: KnowledgeFleet, random: () => number): (() => void) => {
   let isStopped = false
   const startOne = (index: number): void => {
@@ -62,7 +62,7 @@
 
 const readMessages = (fleet: KnowledgeFleet): number => fleet.transports.reduce((sum, transport) => sum + transport.messagesSent(), 0)
 
-/** Mean error of the load that a node believes a server to have, against all nodes' own counts. */
+/** Mean relative error of the nodes' load estimates, against the exact sum of all nodes' own counts. */
 const measureLoadError = (fleet: KnowledgeFleet): number => {
   const keys = fleet.nodes[0]!.resolve('instanceRegistry').all().map(formatInstanceKey)
   const errors = keys.flatMap((key) => {
@@ -107,13 +107,13 @@
 }
 
 /**
- * Runs the measurement.
+ * Runs the benchmark.
  *
- * Nodes run in one process on a manual clock over a source that answers in 4 ms;
- * processor time includes the network in memory and the requests made up here.
+ * Nodes run in one process on a manual clock, with a store that responds in 4 ms.
+ * Processor time includes the network in memory and the generated requests.
  *
- * @param options - `fast` measures the two smallest sizes; `only` one size, by its number of nodes; `seed` fixes the run.
- * @returns One table, a row a size.
+ * @param options - `fast` measures the two smallest sizes; `only` one size, by its number of nodes; `seed` makes the run reproducible.
+ * @returns One table, a row per size.
  *
  * @example
  * const [table] = await runGatewayControlBench({ fast: true, seed: 1 })
--- a/src/bench/main.ts
+++ b/src/bench/main.ts
@@ -1,4 +1,4 @@
-/** `npm run bench -- NAME`: runs one measurement and prints its tables. */
+/** Entry point of `npm run bench -- NAME`: runs one benchmark and prints its tables. */
 import CliTable from 'cli-table3'
 import { Command, InvalidArgumentError } from 'commander'
 import type { Bench, Table } from './types.js'
--- a/src/bench/placement/_lib/createBenchRouter.ts
+++ b/src/bench/placement/_lib/createBenchRouter.ts
@@ -1,4 +1,4 @@
-/** The parts of a router that placement rests on, over a peer network in memory. */
+/** Creates the parts of a router that placement depends on, over a peer network in memory. */
 import type { MemoryPeerNetwork } from '../../../emulator/createMemoryPeerNetwork/index.js'
 import { createChatDirectory } from '../../../services/chatDirectory/index.js'
 import { createFleetLoad } from '../../../services/fleetLoad/index.js'
@@ -15,7 +15,7 @@
   readonly availabilityZone: string
   readonly nodeId: string
   readonly seedPeers: readonly PeerAddress[]
-  /** The engines now, as the sheet would list them. */
+  /** Current configuration, with the engines as the sheet would list them. */
   readonly readConfiguration: () => Configuration
   readonly heartbeatIntervalMs?: number
 }
@@ -24,7 +24,7 @@
   readonly loadView: LoadView
   readonly chatDirectory: ChatDirectory
   readonly start: () => Promise<void>
-  /** Bytes sent to peers so far, with 40 bytes of TCP and IP headers a message. */
+  /** Bytes sent to peers so far, including 40 bytes of TCP and IP headers per message. */
   readonly readControlBytes: () => number
 }
 
@@ -32,9 +32,9 @@
 const DEFAULT_HEARTBEAT_MS = 500
 
 /**
- * Creates a router of the bench.
+ * Creates a router for the benchmark.
  *
- * @param options - Clock, random source, network, and who it is.
+ * @param options - Clock, random source, network, and identity of the node.
  * @returns The router, not yet started.
  */
 export const createBenchRouter = (options: BenchRouterOptions): BenchRouter => {
--- a/src/bench/placement/_lib/createMeasurement.ts
+++ b/src/bench/placement/_lib/createMeasurement.ts
@@ -1,4 +1,4 @@
-/** What one simulation is judged by. */
+/** Collects the metrics of one placement simulation. */
 import { build } from 'hdr-histogram-js'
 import type { JobUsage } from '../../../emulator/createModelEngine/index.js'
 import type { Clock } from '../../../types/index.js'
@@ -6,15 +6,15 @@
 export type Measures = {
   readonly turns: number
   readonly refused: number
-  /** Prompt tokens of returning turns that the cache held, as a share. */
+  /** Share of the prompt tokens of returning turns that were in the cache. */
   readonly returningHitShare: number
   readonly hitShare: number
-  /** 99th percentile and worst of max/mean load over the samples. */
+  /** 99th percentile and maximum of the ratio of highest to mean load over the samples. */
   readonly skew99: number
   readonly worstSkew: number
-  /** Share of samples in which some engine was above the limit, rounded up to a whole request. */
+  /** Share of samples in which at least one engine was above the limit, which is rounded up to a whole request. */
   readonly shareAboveLimit: number
-  /** Share of placements that put an engine above the limit. */
+  /** Share of placements that raised an engine above the limit. */
   readonly placementsAboveLimit: number
   readonly meanLoad: number
   readonly firstTokenMedianMs: number
@@ -32,7 +32,7 @@
   readonly read: () => Measures
 }
 
-/** Below this mean load the ratio is all rounding, and a sample says nothing of skew. */
+/** Below this mean load, rounding dominates the ratio, so samples are not meaningful for skew. */
 const LEAST_MEAN_LOAD = 2
 const RATIO_SCALE = 1000
 
@@ -44,8 +44,8 @@
 /**
  * Creates an empty measurement.
  *
- * @param clock - The simulation's clock.
- * @param options - The load limit, and the time in milliseconds from which on things count.
+ * @param clock - Clock of the simulation.
+ * @param options - The load limit, and the time in milliseconds from which events are counted.
  * @returns The measurement.
  */
 export const createMeasurement = (clock: Clock, options: { readonly loadLimit: number, readonly from: number }): Measurement => {
--- a/src/bench/placement/_lib/createSimulation.ts
+++ b/src/bench/placement/_lib/createSimulation.ts
@@ -1,7 +1,7 @@
 /**
- * Routers and engines in one process on a manual clock. Membership, load view,
- * chat directory and choice are the real modules over a peer network in
- * memory; the engines are the stand-in's core.
+ * Simulates routers and model engines in one process on a manual clock. Membership,
+ * load view, chat directory and server selection are the real modules over a peer
+ * network in memory; the engines are those of the emulator.
  */
 import { createSeededRandom } from '../../../adapters/seededRandom/index.js'
 import type { LoadedCandidate } from '../../../decisions/computeLoadBounds/index.js'
@@ -25,17 +25,17 @@
   readonly heartbeatIntervalMs?: number
 }
 
-/** One engine with its name; a replaced one comes back under a new name with an empty cache. */
+/** A model engine with its name; a replacement has a new name and an empty cache. */
 export type BenchEngine = { readonly name: string, readonly engine: ModelEngine }
 
 export type Simulation = {
   readonly clock: ManualClock
   readonly random: RandomSource
   readonly engines: () => readonly BenchEngine[]
-  /** Lets an engine finish what it has and take nothing new, as every router learns at once. */
+  /** Removes an engine: it finishes its requests and gets no new ones; every router sees the change at once. */
   readonly removeEngine: (name: string) => void
   readonly addEngine: () => void
-  /** Engines that one router does not see for now, as when lists of servers differ. */
+  /** Hides an engine from one router, as when routers have different lists of servers; `undefined` shows it again. */
   readonly hideEngine: (router: number, name: string | undefined) => void
   readonly routers: readonly BenchRouter[]
   readonly measurement: Measurement
@@ -64,7 +64,7 @@
  * Creates a simulation, not yet run.
  *
  * @param options - Deployment, policy, seed and times in milliseconds.
- * @returns The simulation; scenarios set timers on its clock before `run`.
+ * @returns The simulation; a scenario sets timers on its clock before `run`.
  */
 export const createSimulation = (options: SimulationOptions): Simulation => {
   const { deployment, policy, seed } = options
--- a/src/bench/placement/_lib/createWorkload.ts
+++ b/src/bench/placement/_lib/createWorkload.ts
@@ -1,6 +1,6 @@
 /**
- * Returning chats: accounts of skewed size, chats of several turns with pauses
- * between them, each account with a system prompt that its chats share.
+ * Generates returning chats: accounts of skewed size, chats of several turns with
+ * pauses between them, and a system prompt per account that its chats share.
  */
 import type { ChatMessage } from '../../../emulator/composeAnswer/index.js'
 import type { RandomSource } from '../../../types/index.js'
@@ -16,11 +16,11 @@
 export type Workload = {
   /** The first turn of a new chat. */
   readonly beginChat: () => Chat
-  /** The next turn, after the answer to the one before; `undefined` when the chat is over. */
+  /** The next turn, given the answer to the previous one; `undefined` when the chat is over. */
   readonly continueChat: (chat: Chat, answer: string) => Chat | undefined
-  /** Milliseconds until the next chat begins. */
+  /** Draws the time until the next chat begins, in milliseconds. */
   readonly drawArrival: () => number
-  /** Milliseconds that the caller pauses between two turns. */
+  /** Draws the pause between two turns, in milliseconds. */
   readonly drawPause: () => number
 }
 
@@ -32,7 +32,7 @@
 const SHORT_PAUSE_MS = 8_000
 const LONG_PAUSE_MS = 60_000
 const LONG_PAUSE_SHARE = 0.2
-/** Exponent of the sizes of accounts: a few are large. */
+/** Exponent of the power law of account sizes: few accounts are large. */
 const ACCOUNT_SKEW = 1.1
 
 const drawExponential = (random: RandomSource, mean: number): number => -Math.log(1 - random.next()) * mean
@@ -53,8 +53,8 @@
 /**
  * Creates a workload.
  *
- * @param random - Seeded source.
- * @param options - Number of client accounts, and chats begun a second.
+ * @param random - Seeded random source.
+ * @param options - Number of client accounts, and new chats per second.
  * @returns The workload.
  */
 export const createWorkload = (random: RandomSource, options: { readonly clientAccounts: number, readonly chatsPerSecond: number }): Workload => {
--- a/src/bench/placement/_lib/deployments.ts
+++ b/src/bench/placement/_lib/deployments.ts
@@ -1,4 +1,4 @@
-/** The fleets that the placement bench runs: the brief's two, and a step towards the design size. */
+/** Fleets of the placement benchmark: two sites, and a larger fleet between these and the size that the system is designed for. */
 
 export type Deployment = {
   readonly name: string
@@ -7,10 +7,10 @@
   readonly engines: number
   readonly slots: number
   readonly cacheTokensPerEngine: number
-  /** Time between two tokens of a request alone on its engine, in milliseconds; answers have 24 to 255 tokens. */
+  /** Time between two tokens of a request that is alone on its engine, in milliseconds; answers have 24 to 255 tokens. */
   readonly decodeIntervalMs: number
   readonly clientAccounts: number
-  /** Chats begun a second over the whole fleet. */
+  /** New chats per second over the whole fleet. */
   readonly chatsPerSecond: number
   /** One-way delay between availability zones, in milliseconds. */
   readonly zoneDelayMs: number
--- a/src/bench/placement/_lib/policies.ts
+++ b/src/bench/placement/_lib/policies.ts
@@ -1,4 +1,4 @@
-/** The ways to choose a backend server that the bench compares. */
+/** Policies for the selection of a backend server that the benchmark compares. */
 import { chooseBackendServer } from '../../../decisions/chooseBackendServer/index.js'
 import type { LoadedCandidate } from '../../../decisions/computeLoadBounds/index.js'
 import { rankBackendServers } from '../../../decisions/rankBackendServers/index.js'
@@ -16,9 +16,9 @@
 
 export type Policy = {
   readonly choose: (demand: PolicyDemand) => LoadedCandidate | undefined
-  /** Where the chat was served last is looked up. */
+  /** Whether the policy looks up the server that last served the chat. */
   readonly usesMemory: boolean
-  /** Loads and memory are exact and instant, as if one router saw everything. */
+  /** Whether loads and last servers are exact and up to date, as if a single router handled all requests. */
   readonly knowsAll: boolean
 }
 
@@ -32,11 +32,11 @@
 }
 
 type BoundedOptions = {
-  /** Aims at the limit itself. */
+  /** Uses the load limit as the load target. */
   readonly atLimit?: boolean
   readonly usesMemory: boolean
   readonly newChatChoices: number
-  /** New chats have a lower target of their own. */
+  /** Uses a separate, lower load target for new chats. */
   readonly splitsTarget?: boolean
   readonly knowsAll?: boolean
 }
--- a/src/bench/placement/_lib/scenarios.ts
+++ b/src/bench/placement/_lib/scenarios.ts
@@ -1,4 +1,4 @@
-/** What happens to the fleet while it is measured. */
+/** Events that change the fleet during the measurement. */
 import type { Simulation } from './createSimulation.js'
 
 export type Scenario = (simulation: Simulation, times: { readonly from: number, readonly until: number }) => void
@@ -23,7 +23,7 @@
   simulation.addEngine()
 }
 
-/** Routers see an engine go and come back, each at its own moment. */
+/** Hides the first engine from each router, or shows it again, after a random delay per router. */
 const toggleFirst = (simulation: Simulation, isGone: boolean): void => {
   const first = simulation.engines()[0]
   simulation.routers.forEach((_router, index) => {
--- a/src/bench/placement/index.ts
+++ b/src/bench/placement/index.ts
@@ -1,6 +1,6 @@
 /**
- * Placement, measured: policies by deployment and by what happens meanwhile.
- * docs/PLACEMENT.md quotes the tables.
+ * Compares placement policies by deployment and scenario. docs/PLACEMENT.md quotes
+ * the tables.
  */
 import type { BenchOptions, Cell, Table } from '../types.js'
 import type { Measures } from './_lib/createMeasurement.js'
@@ -91,12 +91,12 @@
 }
 
 /**
- * Compares the policies on each deployment and scenario, and the targets of
- * the chosen policy. The fast setting has shorter times, two deployments and
- * the steady scenario.
+ * Compares the policies on each deployment and scenario, and the load targets of
+ * the policy that the router uses. The fast setting has shorter times, two
+ * deployments and only the steady scenario.
  *
  * @param options - Seed, and whether to run the fast setting.
- * @returns One table a comparison.
+ * @returns One table per comparison.
  */
 export const runPlacementBench = async (options: BenchOptions): Promise<readonly Table[]> => {
   const tables: Table[] = []
--- a/src/bench/quantiles/index.ts
+++ b/src/bench/quantiles/index.ts
@@ -1,8 +1,8 @@
 /**
- * Which summary of latencies to keep: a logarithmic histogram or a t-digest.
- * Both take the same latencies spread over nodes, are merged, and are judged
- * by the error in value at the quantiles that time-outs and reports need, by
- * their size on the wire, and by the time an observation takes.
+ * Compares two summaries of latencies: a logarithmic histogram and a t-digest.
+ * Both record the same latencies spread over nodes and are then merged. Reports the
+ * relative error at the quantiles that time-outs and reports need, the encoded size,
+ * and the processor time per observation.
  */
 import { createRequire } from 'node:module'
 import { build, decodeFromCompressedBase64, encodeIntoCompressedBase64, type Histogram } from 'hdr-histogram-js'
@@ -10,7 +10,7 @@
 import type { RandomSource } from '../../types/index.js'
 import type { BenchOptions, Cell, Table } from '../types.js'
 
-/** The part of the t-digest library that the bench uses; it ships no types. */
+/** Types of the part of the t-digest library that is used here; the library ships none. */
 type Centroid = { readonly mean: number, readonly n: number }
 type Digest = {
   readonly push: (value: number) => void
@@ -48,7 +48,7 @@
 
 const mixes: readonly Mix[] = [
   {
-    // First tokens: cache hits are quick, misses wait for their prefill, a few wait in a queue.
+    // First tokens: cache hits are fast, misses wait for their prefill, and a few requests wait in a queue.
     name: 'first tokens',
     draw: (random) => {
       const kind = random.next()
@@ -57,7 +57,7 @@
     }
   },
   { name: 'heavy tail', draw: (random) => Math.min(HIGHEST_MS, 5 * (1 - random.next()) ** (-1 / 1.1)) },
-  // Section 4 of the paper: i.i.d. samples over many orders of magnitude.
+  // I.i.d. samples over many orders of magnitude, as in section 4 of the paper that compares quantile summaries.
   { name: 'highly non-uniform', draw: (random) => Math.min(HIGHEST_MS, Math.max(0.1, Math.exp(4 * drawNormal(random)))) }
 ]
 
@@ -126,11 +126,11 @@
 }
 
 /**
- * Compares the two summaries on the system's own mix of latencies, on a
- * heavy-tailed one, and on one that the paper calls highly non-uniform.
+ * Compares the two summaries on the system's own mix of latencies, on a heavy-tailed
+ * mix, and on the one that the paper on quantile summaries calls highly non-uniform.
  *
  * @param options - Seed, and whether to run the fast setting.
- * @returns One table a mix.
+ * @returns One table per mix.
  */
 export const runQuantilesBench = async (options: BenchOptions): Promise<readonly Table[]> =>
   mixes.map((mix) => measureMix(mix, options.fast ? FAST_SAMPLES : FULL_SAMPLES, options.seed))
--- a/src/bench/routerCost/_lib/askChat.ts
+++ b/src/bench/routerCost/_lib/askChat.ts
@@ -1,4 +1,4 @@
-/** The lean client of this bench: it counts events instead of reading them, so that it costs little beside what it measures. */
+/** Chat client of the benchmark. It counts the events of a stream without parsing them, so that the client itself takes little processor time. */
 import type { Dispatcher } from 'undici'
 
 export type ChatTarget = { readonly origin: string, readonly key: string, readonly model: string }
@@ -6,7 +6,7 @@
 export type ChatTimes = {
   readonly firstByteMs: number
   readonly wholeMs: number
-  /** Events of the stream; 1 for a whole answer. */
+  /** Events of the stream; 1 for an answer that is not streamed. */
   readonly events: number
 }
 
@@ -17,13 +17,13 @@
 const END_OF_WHOLE = Buffer.from('}}}')
 
 /**
- * Asks one question and times the answer.
+ * Sends one chat request and measures the times of its answer.
  *
- * @param dispatcher - Connections to use.
+ * @param dispatcher - Connection pool.
  * @param target - A router or an engine.
- * @param shape - Streamed or whole, and how long.
- * @param question - Opening of a chat of its own.
- * @returns The times in milliseconds. Throws when the answer is not complete: a bench on failures measures nothing.
+ * @param shape - Whether the answer is streamed, and its maximum length in tokens.
+ * @param question - First message of a new chat.
+ * @returns The times in milliseconds. Throws when the answer is incomplete, because the times of failed requests would distort the results.
  *
  * @example
  * await askChat(agent, target, { stream: true, maximumTokens: 32 }, 'question 1')
@@ -46,8 +46,8 @@
     tail = Buffer.concat([tail, chunk]).subarray(-END.byteLength)
   }
   const isWhole = tail.subarray(-END.byteLength).equals(END) || tail.subarray(-END_OF_WHOLE.byteLength).equals(END_OF_WHOLE)
-  if (response.statusCode !== 200 || !isWhole) throw new Error(`status ${response.statusCode}, and an answer that ends in ${tail.toString()}`)
-  // An event has a line for its number, one for its data, and an empty one.
+  if (response.statusCode !== 200 || !isWhole) throw new Error(`chat request failed: status ${response.statusCode}, the answer ends in ${tail.toString()}`)
+  // Each event has three lines: its id, its data and an empty line.
   return { firstByteMs: firstByteMs ?? 0, wholeMs: performance.now() - startedAt, events: shape.stream ? lineFeeds / 3 : 1 }
 }
 
--- a/src/bench/routerCost/_lib/pickQuantile.ts
+++ b/src/bench/routerCost/_lib/pickQuantile.ts
@@ -1,11 +1,11 @@
-/** Exact quantiles of a few thousand values. */
+/** Computes exact quantiles by sorting; meant for a few thousand values. */
 
 /**
- * Gives a quantile of some values.
+ * Returns a quantile of the values.
  *
  * @param values - At least one value, in any order.
  * @param quantile - From 0 to 1.
- * @returns The least value that has at least that share of the values at or below it.
+ * @returns The smallest value that is greater than or equal to at least that share of the values.
  *
  * @example
  * pickQuantile([3, 1, 2], 0.5) // => 2
--- a/src/bench/routerCost/_lib/readProcessFigures.ts
+++ b/src/bench/routerCost/_lib/readProcessFigures.ts
@@ -1,4 +1,4 @@
-/** Processor time and memory of a router, from its own metrics. */
+/** Reads processor time and memory of a router process from its metrics. */
 
 export type ProcessFigures = {
   /** Processor time so far, in seconds. */
@@ -10,10 +10,10 @@
 const BYTES_PER_MEGABYTE = 1_000_000
 
 /**
- * Reads the figures of a router process.
+ * Reads the resource usage of a router process.
  *
  * @param operatorUrl - Origin of its operator port.
- * @returns The figures.
+ * @returns Processor time in seconds and resident memory in megabytes.
  *
  * @example
  * const { cpuSeconds } = await readProcessFigures('http://127.0.0.1:8081')
--- a/src/bench/routerCost/index.ts
+++ b/src/bench/routerCost/index.ts
@@ -1,7 +1,7 @@
 /**
- * What one router process costs: the latency that it adds, and the processor
- * time and memory that it takes, against the same client at the same engines
- * without it, in the same run.
+ * Measures the overhead of one router process: the latency that it adds, and its
+ * processor time and memory. The baseline is the same client with direct requests
+ * to the same engines, in the same run.
  */
 import { round } from '../_lib/statistics.js'
 import { Agent } from 'undici'
@@ -43,15 +43,15 @@
 ]
 
 /**
- * Runs the bench.
+ * Runs the benchmark.
  *
- * Latency is taken one request at a time, direct and through the router by
- * turns, so that both see the same machine. Throughput is taken with a fixed
- * number of requests open. The client is one process too: where direct and
- * routed throughput are close, the client is the limit, and the processor time
- * for each request or event is the figure to go by.
+ * Latency is measured one request at a time, alternating between direct and routed
+ * requests, so that both run under the same conditions. Throughput is measured with
+ * a fixed number of open requests. The client is also a single process: where direct
+ * and routed throughput are close, the client is the bottleneck, and the processor
+ * time per request or event is the meaningful result.
  *
- * @param options - `fast` takes fewer requests; `seed` names the questions.
+ * @param options - `fast` sends fewer requests; `seed` is part of the questions.
  * @returns Tables of latency, throughput and memory.
  *
  * @example
--- a/src/bench/types.ts
+++ b/src/bench/types.ts
@@ -1,4 +1,4 @@
-/** What a bench prints, and what it can be asked for. */
+/** Options and results of a benchmark. */
 
 export type Cell = string | number
 
@@ -9,10 +9,10 @@
 }
 
 export type BenchOptions = {
-  /** Smaller sizes, for under a minute in all. */
+  /** Uses smaller sizes, so that the run takes under a minute. */
   readonly fast: boolean
   readonly seed: number
-  /** Only the deployment or size of this name, where a bench has several. */
+  /** Runs only the deployment or size of this name, where a benchmark has several. */
   readonly only?: string
 }
 
--- a/src/bench/warmUp/index.ts
+++ b/src/bench/warmUp/index.ts
@@ -1,8 +1,8 @@
 /**
- * Two ways to share the rate of a warming server among nodes that can't ask
- * each other: a few nodes by rank with fixed parts, as `services/warmUp` does, and all
- * nodes with an equal part each that they save up. Every node has a request for the
- * server at any moment.
+ * Compares two policies that divide the request rate of a warming server between nodes
+ * without coordination: a few highest-ranked nodes with fixed shares, as
+ * `services/warmUpLimiter` does, and all nodes with an equal share, each in a token
+ * bucket. Load pattern: every node has a request for the server at any moment.
  */
 import { createSeededRandom } from '../../adapters/seededRandom/index.js'
 import { computeWarmUpShares } from '../../decisions/computeWarmUpShares/index.js'
@@ -17,7 +17,7 @@
 const SECONDS = 20
 const STEP_MS = 20
 const WINDOW_MS = 1_000
-/** A node's own window is a tenth longer, for sends that wait for the processor. */
+/** The window that a node applies to its own sends: a tenth longer, as a send may be delayed while it waits for the processor. */
 const OWN_WINDOW_MS = 1_100
 const FREEZES_PER_STEP = 0.002
 const LONGEST_FREEZE_MS = 3_000
@@ -25,7 +25,7 @@
 
 type Random = () => number
 
-/** Whether a node may send now; it counts the send when it may. */
+/** Returns whether a node may send now, and records the send if so. */
 type Sender = (now: number) => boolean
 
 type Way = (self: Member, known: readonly Member[]) => Sender
@@ -93,7 +93,7 @@
   return [countMost(sends), round(sends.length / SECONDS, 1)]
 }
 
-/** Prints, for each fleet, the most requests in any one second and the mean a second. */
+/** Runs the benchmark; returns one table with the highest number of requests in any second and the mean per second, by fleet size and view. */
 export const runWarmUpBench: Bench = async ({ fast, seed }) => [{
   title: `A warming server that may get ${round(BOUND.requestsPerSecond * BOUND.excess + BOUND.slack, 1)} requests in any second and bears ${BOUND.requestsPerSecond}`,
   columns: ['nodes', 'view', ...Object.keys(WAYS).flatMap((name) => [`${name}: most in a second`, 'mean a second'])],
--- a/vitest.config.ts
+++ b/vitest.config.ts
@@ -1,7 +1,7 @@
 import { defineConfig } from 'vitest/config'
 
-// Integration tests start real processes, so few files run at once and a
-// test gets long enough that a busy machine does not decide its verdict.
+// Integration tests start real processes. So few files run at once, and the
+// time-outs are long enough that tests do not fail on a busy machine.
 export default defineConfig({
   test: {
     include: ['platform/**/test.ts', 'src/**/test.ts', 'src/**/*.test.ts', 'test/**/*.test.ts', 'bench/**/test.ts'],
