--- a/src/bench/_lib/startRig.ts
+++ b/src/bench/_lib/startBenchEnvironment.ts
@@ -8,7 +8,7 @@
 import type { BackendServer, Sheet } from '../../types/index.js'
 import { startProcess, type RunningProcess } from './startProcess.js'
 
-export type RigOptions = {
+export type BenchEnvironmentOptions = {
   readonly routers: number
   readonly engines: number
   readonly services: number
@@ -19,18 +19,18 @@
   readonly engineFlags: readonly string[]
 }
 
-export type RigRouter = { readonly callerUrl: string, readonly operatorUrl: string }
+export type BenchRouterAddresses = { readonly callerUrl: string, readonly operatorUrl: string }
 
-export type Rig = {
+export type BenchEnvironment = {
   readonly engineUrls: readonly string[]
-  readonly routers: readonly RigRouter[]
+  readonly routers: readonly BenchRouterAddresses[]
   /** Keys of the client accounts. */
   readonly keys: readonly string[]
   readonly stop: () => Promise<void>
 }
 
 /** Model of the first route. The models and paths of all routes are the defaults of the load tool. */
-export const RIG_MODEL = 'chat'
+export const BENCH_MODEL = 'chat'
 
 const ZONE = 'bench-a'
 const SERVICE_SLOTS = 256
@@ -48,7 +48,7 @@
  * @example
  * const rig = await startRig({ routers: 1, engines: 3, services: 0, accounts: 1, slots: 16, engineFlags: [] })
  */
-export const startRig = async (options: RigOptions): Promise<Rig> => {
+export const startBenchEnvironment = async (options: BenchEnvironmentOptions): Promise<BenchEnvironment> => {
   const started: RunningProcess[] = []
   const start = async (args: readonly string[], environment: Readonly<Record<string, string>> = {}): Promise<RunningProcess> => {
     const child = await startProcess(args, environment)
@@ -82,8 +82,8 @@
 
 type Start = (args: readonly string[], environment: Readonly<Record<string, string>>) => Promise<RunningProcess>
 
-const startRouters = async (count: number, platformUrl: string, start: Start): Promise<readonly RigRouter[]> => {
-  const routers: RigRouter[] = []
+const startRouters = async (count: number, platformUrl: string, start: Start): Promise<readonly BenchRouterAddresses[]> => {
+  const routers: BenchRouterAddresses[] = []
   let seedFlags: readonly string[] = []
   for (let index = 0; index < count; index += 1) {
     const { ready } = await start([
@@ -106,7 +106,7 @@
   const route = { backendIdempotent: false, deadlineSeconds: 60, priority: 'interactive', repeatable: true } as const
   const bounds = { loadLimit: 1.5, loadTarget: 1.26 }
   const modelRoutes: Sheet['routes'] = [
-    { ...route, name: 'chat', service: 'engines', model: RIG_MODEL },
+    { ...route, name: 'chat', service: 'engines', model: BENCH_MODEL },
     { ...route, name: 'overnight', service: 'engines', model: 'overnight', priority: 'overnight' }
   ]
   const plainRoutes: Sheet['routes'] = [
--- a/src/bench/_lib/startProcess.ts
+++ b/src/bench/_lib/startProcess.ts
@@ -3,12 +3,12 @@
 import { createInterface } from 'node:readline'
 import { fileURLToPath } from 'node:url'
 
-export type Ready = Readonly<Record<string, unknown>>
+export type ReadyMessage = Readonly<Record<string, unknown>>
 
 export type RunningProcess = {
   readonly pid: number
   /** The JSON line that the process prints once it listens. */
-  readonly ready: Ready
+  readonly ready: ReadyMessage
   /** The last lines of its log. */
   readonly logLines: () => readonly string[]
   readonly terminate: () => void
@@ -25,12 +25,12 @@
 
 /** The built program; the relative path is right from src/ as well as from dist/. */
 const MAIN = fileURLToPath(new URL('../../../dist/cli/main.js', import.meta.url))
-const KEPT_LOG_LINES = 200
+const MAXIMUM_LOG_LINES = 200
 
-const spawned = new Set<number>()
+const runningPids = new Set<number>()
 
 const killAll = (): void => {
-  for (const pid of spawned) {
+  for (const pid of runningPids) {
     try {
       process.kill(pid, 'SIGKILL')
     } catch {
@@ -49,14 +49,14 @@
   const child = spawn(process.execPath, [MAIN, ...commandArguments], { env: { ...process.env, ...environment }, stdio: ['ignore', 'pipe', 'pipe'] })
   const pid = child.pid
   if (pid === undefined) throw new Error(`cannot start ${commandArguments.join(' ')}`)
-  spawned.add(pid)
+  runningPids.add(pid)
   const whenExited = new Promise<number | null>((resolve) => {
     child.on('exit', (code) => {
-      spawned.delete(pid)
+      runningPids.delete(pid)
       resolve(code)
     })
   })
-  const signal = (name: NodeJS.Signals): void => { if (spawned.has(pid)) process.kill(pid, name) }
+  const signal = (name: NodeJS.Signals): void => { if (runningPids.has(pid)) process.kill(pid, name) }
   return { child, pid, whenExited, signal }
 }
 
@@ -70,15 +70,15 @@
 export const startProcess = async (commandArguments: readonly string[], environment: Readonly<Record<string, string>> = {}): Promise<RunningProcess> => {
   const { child, pid, whenExited, signal } = spawnMain(commandArguments, environment)
   const logLines: string[] = []
-  const keep = (line: string): void => {
+  const appendLogLine = (line: string): void => {
     logLines.push(line)
-    if (logLines.length > KEPT_LOG_LINES) logLines.shift()
+    if (logLines.length > MAXIMUM_LOG_LINES) logLines.shift()
   }
-  createInterface({ input: child.stderr }).on('line', keep)
-  const ready = await new Promise<Ready>((resolve, reject) => {
+  createInterface({ input: child.stderr }).on('line', appendLogLine)
+  const ready = await new Promise<ReadyMessage>((resolve, reject) => {
     createInterface({ input: child.stdout }).on('line', (line) => {
-      if (line.startsWith('{')) resolve(JSON.parse(line) as Ready)
-      else keep(line)
+      if (line.startsWith('{')) resolve(JSON.parse(line) as ReadyMessage)
+      else appendLogLine(line)
     })
     whenExited.then((code) => { reject(new Error(`${commandArguments.join(' ')} ended with ${code}:\n${logLines.join('\n')}`)) })
   })
@@ -93,7 +93,7 @@
       signal('SIGKILL')
       await whenExited
     },
-    hasExited: () => !spawned.has(pid),
+    hasExited: () => !runningPids.has(pid),
     whenExited
   }
 }
--- a/src/bench/configuration/_lib/createBenchSheet.ts
+++ b/src/bench/configuration/_lib/createBenchSheet.ts
@@ -6,10 +6,10 @@
 const MODELS = 33
 const ZONES = 8
 
-export const createBenchSheet = (accounts: number, heaviest = 1): Sheet => ({
+export const createBenchSheet = (accounts: number, firstAccountWeight = 1): Sheet => ({
   clientAccounts: Array.from({ length: accounts }, (_, index) => ({
     name: `client-account-${index}`,
-    weight: index === 0 ? heaviest : 1,
+    weight: index === 0 ? firstAccountWeight : 1,
     keyHashes: [computeSha256(`key ${index}`)]
   })),
   services: [{ name: 'models', kind: 'model', loadLimit: 1.5, loadTarget: 1.26 }],
--- a/src/bench/configuration/_lib/measureRollout.ts
+++ b/src/bench/configuration/_lib/measureRollout.ts
@@ -35,7 +35,7 @@
 const SETTLING_MS = 35_000
 const STEADY_MS = 30_000
 const STEP_MS = 20
-const LIMIT_MS = 30_000
+const ROLLOUT_TIMEOUT_MS = 30_000
 const ACCOUNTS = 50
 const ONE_WAY_DELAY_MS = 0.25
 const ZONE_DELAY_MS = 5
@@ -128,10 +128,10 @@
 }
 
 /** Runs the clock until every node has the generation in force, and returns the delay of each in milliseconds. */
-const awaitGeneration = async ({ clock, holders }: Fleet, generation: number): Promise<readonly number[]> => {
+const waitForGeneration = async ({ clock, holders }: Fleet, generation: number): Promise<readonly number[]> => {
   const startedAt = clock.now()
   const delays = new Map<number, number>()
-  while (delays.size < holders.length && clock.now() - startedAt < LIMIT_MS) {
+  while (delays.size < holders.length && clock.now() - startedAt < ROLLOUT_TIMEOUT_MS) {
     await clock.advanceAndSettle(STEP_MS)
     holders.forEach((holder, index) => { if (holder.generation() >= generation && !delays.has(index)) delays.set(index, clock.now() - startedAt) })
   }
@@ -145,13 +145,13 @@
   const fleet = await createFleet(options)
   const { clock, counts } = fleet
   await applyChange(fleet, 1, 0)
-  await awaitGeneration(fleet, 1)
+  await waitForGeneration(fleet, 1)
   counts.clear()
   await clock.advanceAndSettle(STEADY_MS)
   const steadyCallsPerSecond = sumCounts(counts) / (STEADY_MS / 1_000)
   counts.clear()
   await applyChange(fleet, 2, 1)
-  const delaysMs = await awaitGeneration(fleet, 2)
+  const delaysMs = await waitForGeneration(fleet, 2)
   const read = (kind: string): number => counts.get(kind) ?? 0
   return { nodes: options.nodes, zones: options.zones, delaysMs, rootReads: read('rootRead'), chunkReads: read('chunkRead'), watchers: read('watch'), steadyCallsPerSecond }
 }
--- a/src/bench/configuration/_lib/measureSheet.ts
+++ b/src/bench/configuration/_lib/measureSheet.ts
@@ -20,11 +20,11 @@
   readonly rootBytes: number
   readonly changedChunks: number
   readonly changedBytes: number
-  readonly checkMs: number
+  readonly parseMs: number
   readonly splitMs: number
   readonly compareMs: number
   /** Memory that a node uses for the configuration: the bytes of all chunks, the decoded records and the sheet. */
-  readonly heldBytes: number
+  readonly memoryBytes: number
   /** Time of a starting node: it hashes and decodes all chunks, then joins them. */
   readonly bootMs: number
   /** Time of a node that applies one changed row: it hashes and decodes one chunk, then joins all. */
@@ -58,7 +58,7 @@
   return heapUsed + arrayBuffers
 }
 
-const measureHeld = (accounts: number): number => {
+const measureMemory = (accounts: number): number => {
   const before = readMemory()
   const chunks = splitSheetIntoChunks(createBenchSheet(accounts), computeSha256)
   const decoded = chunks.map(decode)
@@ -82,7 +82,7 @@
   const changedChunks = splitSheetIntoChunks(changed, computeSha256, chunks.length).filter(({ hash }) => !known.has(hash))
   const decoded = chunks.map(decode)
   return {
-    heldBytes: measureHeld(accounts),
+    memoryBytes: measureMemory(accounts),
     csvBytes: csv.length,
     chunks: chunks.length,
     chunkBytes: sumBytes(chunks),
@@ -90,7 +90,7 @@
     rootBytes: measureRoot(chunks),
     changedChunks: changedChunks.length,
     changedBytes: sumBytes(changedChunks),
-    checkMs: measure(() => parseSheet(csv)),
+    parseMs: measure(() => parseSheet(csv)),
     splitMs: measure(() => splitSheetIntoChunks(sheet, computeSha256)),
     compareMs: measure(() => compareSheets(sheet, changed)),
     bootMs: measure(() => joinChunksToSheet(chunks.map(decode))),
--- a/src/bench/configuration/index.ts
+++ b/src/bench/configuration/index.ts
@@ -27,22 +27,22 @@
     {
       title: 'Bytes of a sheet with 600 backend servers and 33 routes; the root with a full history',
       columns: ['client accounts', 'CSV', 'chunks', 'all chunks', 'largest chunk', 'root', 'chunks of one changed row', 'fetched for one changed row', 'memory of a node'],
-      rows: sheets.map((sheet): readonly Cell[] => [sheet.accounts, sheet.csvBytes, sheet.chunks, sheet.chunkBytes, sheet.largestChunkBytes, sheet.rootBytes, sheet.changedChunks, sheet.rootBytes + sheet.changedBytes, sheet.heldBytes])
+      rows: sheets.map((sheet): readonly Cell[] => [sheet.accounts, sheet.csvBytes, sheet.chunks, sheet.chunkBytes, sheet.largestChunkBytes, sheet.rootBytes, sheet.changedChunks, sheet.rootBytes + sheet.changedBytes, sheet.memoryBytes])
     },
     {
       title: 'Milliseconds of one core for a sheet, median of 7',
       columns: ['client accounts', 'read and check', 'split', 'compare', 'boot of a node', 'one changed row at a node'],
-      rows: sheets.map((sheet): readonly Cell[] => [sheet.accounts, ...[sheet.checkMs, sheet.splitMs, sheet.compareMs, sheet.bootMs, sheet.changeMs].map((time) => time.toFixed(1))])
+      rows: sheets.map((sheet): readonly Cell[] => [sheet.accounts, ...[sheet.parseMs, sheet.splitMs, sheet.compareMs, sheet.bootMs, sheet.changeMs].map((time) => time.toFixed(1))])
     },
     {
       title: 'From acceptance to in force, in milliseconds of a manual clock, and calls of all nodes at the platform',
       columns: ['nodes', 'zones', 'half have it', '99 % have it', 'all have it', 'root reads', 'chunk reads', 'watches renewed', 'calls a second while idle'],
-      rows: rollouts.map(toRolloutRow)
+      rows: rollouts.map(formatRolloutRow)
     }
   ]
 }
 
-const toRolloutRow = (rollout: RolloutMeasurement): readonly Cell[] => {
+const formatRolloutRow = (rollout: RolloutMeasurement): readonly Cell[] => {
   const { delaysMs } = rollout
   const at = (share: number): number => delaysMs[Math.ceil(share * delaysMs.length) - 1] ?? NaN
   return [rollout.nodes, rollout.zones, at(0.5), at(0.99), at(1), rollout.rootReads, rollout.chunkReads, rollout.watchers, rollout.steadyCallsPerSecond.toFixed(2)]
--- a/src/bench/controlTraffic/createFleet.ts
+++ b/src/bench/controlTraffic/createFleet.ts
@@ -37,7 +37,7 @@
   readonly nodes: readonly FleetNode[]
   readonly startNode: (index: number) => FleetNode
   /** Exact number of requests in flight on a server, over all nodes. */
-  readonly countTruth: (backendServer: string) => number
+  readonly countExactInFlight: (backendServer: string) => number
 }
 
 /** Small, because the directory allocates its memory at the start: 360 directories of the usual size would not fit in one process. */
@@ -69,7 +69,7 @@
     delayMs: (from, to) => zoneByHost.get(from.host) === zoneByHost.get(to.host) ? NEAR_DELAY_MS : FAR_DELAY_MS
   })
   const nodes: FleetNode[] = []
-  const countTruth = (backendServer: string): number => nodes.reduce((sum, node) => sum + node.loadView.ownInFlight(backendServer), 0)
+  const countExactInFlight = (backendServer: string): number => nodes.reduce((sum, node) => sum + node.loadView.ownInFlight(backendServer), 0)
 
   const startNode = (index: number): FleetNode => {
     const name = `node-${index}`
@@ -89,7 +89,7 @@
     const backendClient = {
       readLoad: async (url: string) => {
         probes += 1
-        return success({ running: countTruth(url.slice('http://'.length)), waiting: 0, slots: SLOTS, leaving: false, ageMs: 0 })
+        return success({ running: countExactInFlight(url.slice('http://'.length)), waiting: 0, slots: SLOTS, leaving: false, ageMs: 0 })
       }
     }
     const backendHealth = createBackendHealth(
@@ -107,5 +107,5 @@
     return node
   }
 
-  return { clock, random, servers: configuration.sheet.backendServers, nodes, startNode, countTruth }
+  return { clock, random, servers: configuration.sheet.backendServers, nodes, startNode, countExactInFlight }
 }
--- a/src/bench/controlTraffic/index.ts
+++ b/src/bench/controlTraffic/index.ts
@@ -27,7 +27,7 @@
 const WARM_UP_MS = 60_000
 const MEASURED_MS = 10_000
 const STEP_MS = 50
-const LONGEST_WAIT_MS = 30_000
+const MAXIMUM_WAIT_MS = 30_000
 const MS_PER_SECOND = 1000
 const BYTES_PER_KILOBYTE = 1000
 const MICROSECONDS_PER_MS = 1000
@@ -43,9 +43,9 @@
 
 const totalBytes = (node: FleetNode): number => [...node.transport.bytesSent().values()].reduce((sum, bytes) => sum + bytes, 0)
 
-type Mark = { readonly bytes: number, readonly heartbeat: number, readonly digest: number, readonly snapshot: number, readonly directory: number, readonly messages: number, readonly probes: number }
+type TrafficCounters = { readonly bytes: number, readonly heartbeat: number, readonly digest: number, readonly snapshot: number, readonly directory: number, readonly messages: number, readonly probes: number }
 
-const takeMark = (node: FleetNode): Mark => ({
+const readTrafficCounters = (node: FleetNode): TrafficCounters => ({
   bytes: totalBytes(node),
   heartbeat: node.transport.bytesSent().get('heartbeat') ?? 0,
   digest: node.transport.bytesSent().get('loadDigest') ?? 0,
@@ -55,31 +55,31 @@
   probes: node.readProbes()
 })
 
-const perSecond = (before: readonly Mark[], after: readonly Mark[], field: keyof Mark, ms: number): readonly number[] =>
-  after.map((mark, index) => (mark[field] - before[index]![field]) / (ms / MS_PER_SECOND))
+const computeRates = (before: readonly TrafficCounters[], after: readonly TrafficCounters[], field: keyof TrafficCounters, ms: number): readonly number[] =>
+  after.map((counters, index) => (counters[field] - before[index]![field]) / (ms / MS_PER_SECOND))
 
 /** Relative errors of the load estimates of all nodes, at one moment. */
 const measureErrors = (fleet: Fleet): readonly number[] => {
-  const truths = fleet.servers.map(({ name }) => ({ name, truth: fleet.countTruth(name) })).filter(({ truth }) => truth > 0)
+  const truths = fleet.servers.map(({ name }) => ({ name, truth: fleet.countExactInFlight(name) })).filter(({ truth }) => truth > 0)
   return fleet.nodes.flatMap((node) => truths.map(({ name, truth }) => Math.abs(node.loadView.estimateInFlight(name) - truth) / truth))
 }
 
 const measureSteady = async (fleet: Fleet, size: FleetSize, ms: number): Promise<readonly (string | number)[]> => {
   const traffic = runTraffic(fleet)
   await fleet.clock.advanceAndSettle(WARM_UP_MS)
-  const before = fleet.nodes.map(takeMark)
+  const before = fleet.nodes.map(readTrafficCounters)
   const startedUsage = process.cpuUsage()
   await fleet.clock.advanceAndSettle(ms)
   const usage = process.cpuUsage(startedUsage)
-  const after = fleet.nodes.map(takeMark)
+  const after = fleet.nodes.map(readTrafficCounters)
   const errors = [...measureErrors(fleet)].sort((one, other) => one - other)
   traffic.stop()
-  const kilobytes = (field: keyof Mark): readonly number[] => perSecond(before, after, field, ms).map((bytes) => bytes / BYTES_PER_KILOBYTE)
+  const kilobytes = (field: keyof TrafficCounters): readonly number[] => computeRates(before, after, field, ms).map((bytes) => bytes / BYTES_PER_KILOBYTE)
   const nodeSeconds = size.nodes * ms / MS_PER_SECOND
   return [
     size.nodes, size.servers, size.zones,
     round(mean(kilobytes('heartbeat'))), round(mean(kilobytes('digest'))), round(mean(kilobytes('snapshot'))), round(mean(kilobytes('directory'))), round(mean(kilobytes('bytes'))), round(Math.max(...kilobytes('bytes'))),
-    round(mean(perSecond(before, after, 'messages', ms)), 1), round(mean(perSecond(before, after, 'probes', ms)), 1),
+    round(mean(computeRates(before, after, 'messages', ms)), 1), round(mean(computeRates(before, after, 'probes', ms)), 1),
     round((usage.user + usage.system) / MICROSECONDS_PER_MS / nodeSeconds),
     round(process.memoryUsage().heapUsed / BYTES_PER_KILOBYTE / BYTES_PER_KILOBYTE / size.nodes),
     round(100 * mean(errors), 1), round(100 * (errors[Math.floor(errors.length * 0.99)] ?? 0), 1)
@@ -89,27 +89,27 @@
 /** Advances the clock until the condition holds; returns the milliseconds, or a text after a time-out. */
 const waitUntil = async (fleet: Fleet, isTrue: () => boolean): Promise<number | string> => {
   const startedAt = fleet.clock.now()
-  while (fleet.clock.now() - startedAt < LONGEST_WAIT_MS) {
+  while (fleet.clock.now() - startedAt < MAXIMUM_WAIT_MS) {
     if (isTrue()) return fleet.clock.now() - startedAt
     await fleet.clock.advanceAndSettle(STEP_MS)
   }
-  return `over ${LONGEST_WAIT_MS}`
+  return `over ${MAXIMUM_WAIT_MS}`
 }
 
-const findState = (node: FleetNode, name: string): string | undefined =>
+const readMemberState = (node: FleetNode, name: string): string | undefined =>
   node.membership.members().find((member) => member.nodeId === name)?.state
 
-const measureNews = async (fleet: Fleet, size: FleetSize): Promise<readonly (string | number)[]> => {
+const measurePropagation = async (fleet: Fleet, size: FleetSize): Promise<readonly (string | number)[]> => {
   const [leavingServer] = fleet.servers
   fleet.nodes[0]!.backendHealth.markLeaving(leavingServer!.name)
   const leaving = await waitUntil(fleet, () => fleet.nodes.every((node) => node.backendHealth.status(leavingServer!.name).state === 'leaving'))
   const joined = fleet.startNode(size.nodes)
-  const join = await waitUntil(fleet, () => fleet.nodes.every((node) => node === joined || findState(node, joined.name) === 'live'))
+  const join = await waitUntil(fleet, () => fleet.nodes.every((node) => node === joined || readMemberState(node, joined.name) === 'live'))
   const lost = fleet.nodes[Math.floor(size.nodes / 2)]!
   await lost.stop()
-  const death = await waitUntil(fleet, () => fleet.nodes.every((node) => node === lost || findState(node, lost.name) === 'dead'))
-  const wrongly = fleet.nodes.filter((node) => node !== lost && node.membership.liveMembers().length !== size.nodes).length
-  return [size.nodes, leaving, join, death, wrongly]
+  const death = await waitUntil(fleet, () => fleet.nodes.every((node) => node === lost || readMemberState(node, lost.name) === 'dead'))
+  const nodesWithWrongMembers = fleet.nodes.filter((node) => node !== lost && node.membership.liveMembers().length !== size.nodes).length
+  return [size.nodes, leaving, join, death, nodesWithWrongMembers]
 }
 
 const selectSizes = (fast: boolean, only: string | undefined): readonly FleetSize[] => {
@@ -132,11 +132,11 @@
  */
 export const runControlTrafficBench: Bench = async ({ fast, seed, only }) => {
   const steady: (readonly (string | number)[])[] = []
-  const news: (readonly (string | number)[])[] = []
+  const propagation: (readonly (string | number)[])[] = []
   for (const size of selectSizes(fast, only)) {
     const fleet = await startFleet(size, seed)
     steady.push(await measureSteady(fleet, size, MEASURED_MS))
-    news.push(await measureNews(fleet, size))
+    propagation.push(await measurePropagation(fleet, size))
   }
   const tables: readonly Table[] = [
     {
@@ -147,7 +147,7 @@
     {
       title: 'Time until every node knows (ms); nodes with a wrong list of members afterwards',
       columns: ['nodes', 'server leaving', 'node joined', 'node dead', 'wrong lists'],
-      rows: news
+      rows: propagation
     }
   ]
   return tables
--- a/src/bench/crowd/_lib/playCrowd.ts
+++ b/src/bench/crowd/_lib/simulateBurst.ts
@@ -11,7 +11,7 @@
 import type { GatewayNode } from '../../../node/createGatewayNode/index.js'
 import type { BackendInstance, GatewayRequest, PromptPart } from '../../../types/index.js'
 
-export type CrowdOptions = {
+export type BurstOptions = {
   readonly seed: number
   readonly nodesPerZone: number
   readonly zones: number
@@ -27,17 +27,17 @@
   readonly skew: number
   /** Mean time in milliseconds that a request is in flight at its engine. */
   readonly holdMs: number
-  readonly playedMs: number
+  readonly simulatedMs: number
 }
 
-export type CrowdOutcome = {
+export type BurstOutcome = {
   readonly requests: number
   /** Requests whose engine was over the limit when they arrived. */
   readonly overLimit: number
   /** Highest share of requests over the limit in any window of five seconds. */
   readonly worstShare: number
   /** Tokens of shared prefixes that the selected engine did not have in its cache and had to prefill. */
-  readonly tokensRead: number
+  readonly prefilledTokens: number
 }
 
 /** The promised limit on the load of an engine: this multiple of the mean, plus LOAD_SLACK requests. */
@@ -69,7 +69,7 @@
   receivedAt: now
 })
 
-const choose = (node: GatewayNode, request: GatewayRequest, random: () => number): BackendInstance | undefined => selectInstance({
+const selectServer = (node: GatewayNode, request: GatewayRequest, random: () => number): BackendInstance | undefined => selectInstance({
   registry: node.resolve('instanceRegistry'),
   health: node.resolve('instanceHealth'),
   directory: node.resolve('promptDirectory'),
@@ -84,7 +84,7 @@
 
 type Arrival = { readonly at: number, readonly isOver: boolean }
 
-const findWorstShare = (arrivals: readonly Arrival[]): number => {
+const computeWorstShare = (arrivals: readonly Arrival[]): number => {
   let worst = 0
   for (let from = 0; from < (arrivals.at(-1)?.at ?? 0); from += MS_PER_SECOND) {
     const inWindow = arrivals.filter(({ at }) => at >= from && at < from + WINDOW_MS)
@@ -93,30 +93,30 @@
   return worst
 }
 
-const nameEngine = (index: number): string => `engine-${String(index).padStart(3, '0')}`
+const formatEngineName = (index: number): string => `engine-${String(index).padStart(3, '0')}`
 
 /** Tracks the exact loads and caches of the engines, apart from the estimates of the nodes. */
-const createEngines = (fleet: InProcessFleet, zones: number) => {
-  const held = new Map<string, number>()
-  const kept = new Set<string>()
+const createEngineTracker = (fleet: InProcessFleet, zones: number) => {
+  const inFlightByEngine = new Map<string, number>()
+  const cachedSubjects = new Set<string>()
   return {
     add: (index: number): void => {
-      const id = nameEngine(index)
+      const id = formatEngineName(index)
       fleet.putInstance(id, { availabilityZone: `zone-${index % zones}`, slots: SLOTS })
-      held.set(`${id}@1`, 0)
+      inFlightByEngine.set(`${id}@1`, 0)
     },
     isOver: (key: string): boolean => {
-      const mean = [...held.values()].reduce((sum, count) => sum + count, 0) / held.size
-      return (held.get(key) ?? 0) + 1 > LOAD_FACTOR * mean + LOAD_SLACK
+      const mean = [...inFlightByEngine.values()].reduce((sum, count) => sum + count, 0) / inFlightByEngine.size
+      return (inFlightByEngine.get(key) ?? 0) + 1 > LOAD_FACTOR * mean + LOAD_SLACK
     },
-    leave: (index: number): void => { fleet.putInstance(nameEngine(index), { availabilityZone: `zone-${index % zones}`, slots: SLOTS, isLeaving: true }) },
-    change: (key: string, difference: number): void => { held.set(key, (held.get(key) ?? 0) + difference) },
+    startLeaving: (index: number): void => { fleet.putInstance(formatEngineName(index), { availabilityZone: `zone-${index % zones}`, slots: SLOTS, isLeaving: true }) },
+    change: (key: string, difference: number): void => { inFlightByEngine.set(key, (inFlightByEngine.get(key) ?? 0) + difference) },
     /** Returns whether the engine has the subject cached, and caches it. */
-    keep: (key: string, subject: number): boolean => {
-      const place = `${key} ${subject}`
-      const wasKept = kept.has(place)
-      kept.add(place)
-      return wasKept
+    cacheSubject: (key: string, subject: number): boolean => {
+      const cacheKey = `${key} ${subject}`
+      const wasCached = cachedSubjects.has(cacheKey)
+      cachedSubjects.add(cacheKey)
+      return wasCached
     }
   }
 }
@@ -130,28 +130,28 @@
  * @example
  * (await playCrowd(options)).worstShare // => 0.01
  */
-export const playCrowd = async (options: CrowdOptions): Promise<CrowdOutcome> => {
+export const simulateBurst = async (options: BurstOptions): Promise<BurstOutcome> => {
   const random = createSeededRandom(options.seed).next
   const fleet = createInProcessFleet({ nodesPerZone: options.nodesPerZone, zones: options.zones, random })
-  const engines = createEngines(fleet, options.zones)
+  const engines = createEngineTracker(fleet, options.zones)
   for (let index = 0; index < options.engines; index++) engines.add(index)
   await fleet.start()
   await fleet.clock.advanceAndSettle(SETTLE_MS)
   const arrivals: Arrival[] = []
   const startedAt = fleet.clock.now()
-  let tokensRead = 0
-  let added = 0
-  let left = 0
+  let prefilledTokens = 0
+  let addedCount = 0
+  let leavingCount = 0
 
   const arrive = (): void => {
     const node = fleet.nodes[Math.floor(random() * fleet.nodes.length)]!
     const subject = Math.floor(options.subjects * random() ** (1 + options.skew))
     const request = createRequest(arrivals.length, subject, fleet.clock.now())
-    const instance = choose(node, request, random)
+    const instance = selectServer(node, request, random)
     if (instance === undefined) return
     const key = formatInstanceKey(instance)
     arrivals.push({ at: fleet.clock.now() - startedAt, isOver: engines.isOver(key) })
-    if (!engines.keep(key, subject)) tokensRead += SHARED_TOKENS
+    if (!engines.cacheSubject(key, subject)) prefilledTokens += SHARED_TOKENS
     engines.change(key, 1)
     node.resolve('loadView').recordStart(key)
     node.resolve('promptDirectory').record(request.promptParts, key)
@@ -162,13 +162,13 @@
   }
 
   let due = 0
-  while (fleet.clock.now() - startedAt < options.playedMs) {
+  while (fleet.clock.now() - startedAt < options.simulatedMs) {
     await fleet.clock.advanceAndSettle(STEP_MS)
-    const share = (fleet.clock.now() - startedAt) / options.playedMs
-    while (added < Math.floor(share * options.addedEngines)) engines.add(options.engines + added++)
-    while (left < Math.floor(share * options.leavingEngines)) engines.leave(left++)
+    const share = (fleet.clock.now() - startedAt) / options.simulatedMs
+    while (addedCount < Math.floor(share * options.addedEngines)) engines.add(options.engines + addedCount++)
+    while (leavingCount < Math.floor(share * options.leavingEngines)) engines.startLeaving(leavingCount++)
     for (due += options.requestsPerSecond * STEP_MS / MS_PER_SECOND; due >= 1; due--) arrive()
   }
   await fleet.stop()
-  return { requests: arrivals.length, overLimit: arrivals.filter(({ isOver }) => isOver).length, worstShare: findWorstShare(arrivals), tokensRead }
+  return { requests: arrivals.length, overLimit: arrivals.filter(({ isOver }) => isOver).length, worstShare: computeWorstShare(arrivals), prefilledTokens }
 }
--- a/src/bench/fairness/_lib/createFirstComeAdmission.ts
+++ b/src/bench/fairness/_lib/createFirstComeFirstServedAdmission.ts
@@ -2,16 +2,16 @@
 import { failure, success } from '../../../kernel/index.js'
 import type { AdmissionDemand, AdmissionRefusal, AdmissionTicket, Admission, Clock, Result } from '../../../types/index.js'
 
-type Waiting = { readonly demand: AdmissionDemand, readonly settle: (result: Result<AdmissionTicket, AdmissionRefusal>) => void }
+type QueuedRequest = { readonly demand: AdmissionDemand, readonly settle: (result: Result<AdmissionTicket, AdmissionRefusal>) => void }
 
 const RETRY_AFTER_MS = 1_000
 
-export const createFirstComeAdmission = (clock: Clock, slotsForNode: () => number, maximumQueued: number, pollIntervalMs: number): Admission => {
-  const waiting: Waiting[] = []
+export const createFirstComeFirstServedAdmission = (clock: Clock, countSlots: () => number, maximumQueued: number, pollIntervalMs: number): Admission => {
+  const waiting: QueuedRequest[] = []
   let running = 0
 
-  const pump = (): void => {
-    while (waiting.length > 0 && running < slotsForNode()) {
+  const admitWaiting = (): void => {
+    while (waiting.length > 0 && running < countSlots()) {
       const next = waiting.shift()!
       const isLate = clock.now() >= next.demand.deadlineAt
       next.settle(isLate ? failure({ reason: 'deadline', retryAfterMs: RETRY_AFTER_MS }) : success(createTicket()))
@@ -23,13 +23,13 @@
     return {
       finish: () => {
         running -= 1
-        pump()
+        admitWaiting()
       }
     }
   }
 
   const poll = (): void => {
-    pump()
+    admitWaiting()
     clock.setTimer(pollIntervalMs, poll)
   }
   poll()
@@ -38,7 +38,7 @@
     admit: (demand) => new Promise((resolve) => {
       if (waiting.length >= maximumQueued) return resolve(failure({ reason: 'queueFull', retryAfterMs: RETRY_AFTER_MS }))
       waiting.push({ demand, settle: resolve })
-      pump()
+      admitWaiting()
     }),
     usage: () => [],
     mergeUsage: () => {}
--- a/src/bench/fairness/_lib/measure.ts
+++ b/src/bench/fairness/_lib/measure.ts
@@ -1,11 +1,11 @@
 /** Computes the results of one run over the requests that arrived in a time window. */
-import type { Served } from './runTrial.js'
+import type { RequestMeasurement } from './runTrial.js'
 import { accounts } from './workload.js'
 import type { Account } from './workload.js'
 
-export type Window = { readonly fromMs: number, readonly toMs: number }
+export type TimeWindow = { readonly fromMs: number, readonly toMs: number }
 
-export type GroupFigures = {
+export type GroupMetrics = {
   readonly firstTokenP50: number
   readonly firstTokenP95: number
   readonly refusedShare: number
@@ -17,12 +17,12 @@
 const quantile = (sorted: readonly number[], share: number): number =>
   sorted.length === 0 ? NaN : sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))]!
 
-const countTokens = (served: readonly Served[]): number =>
+const countTokens = (served: readonly RequestMeasurement[]): number =>
   served.reduce((sum, { arrival }) => sum + arrival.promptTokens + arrival.outputTokens, 0)
 
-const isInWindow = ({ arrival }: Served, window: Window): boolean => arrival.at >= window.fromMs && arrival.at < window.toMs
+const isInWindow = ({ arrival }: RequestMeasurement, window: TimeWindow): boolean => arrival.at >= window.fromMs && arrival.at < window.toMs
 
-export const measureGroup = (served: readonly Served[], window: Window, isMember: (account: Account) => boolean): GroupFigures => {
+export const measureGroup = (served: readonly RequestMeasurement[], window: TimeWindow, isMember: (account: Account) => boolean): GroupMetrics => {
   const group = served.filter((result) => isInWindow(result, window) && isMember(result.arrival.account))
   const complete = group.filter(({ outcome }) => outcome === 'complete')
   const firstTokens = complete.map(({ firstTokenMs }) => firstTokenMs).sort((left, right) => left - right)
@@ -48,10 +48,10 @@
 const computeMaxMinShares = (demands: readonly Demand[], capacity: number): readonly number[] => {
   const shares = demands.map(() => 0)
   let open = demands.map((_, index) => index)
-  let left = capacity
+  let remainingCapacity = capacity
   while (open.length > 0) {
     const weights = open.reduce((sum, index) => sum + demands[index]!.weight, 0)
-    const level = left / weights
+    const level = remainingCapacity / weights
     const satisfied = open.filter((index) => demands[index]!.tokens <= level * demands[index]!.weight)
     if (satisfied.length === 0) {
       for (const index of open) shares[index] = level * demands[index]!.weight
@@ -59,7 +59,7 @@
     }
     for (const index of satisfied) {
       shares[index] = demands[index]!.tokens
-      left -= demands[index]!.tokens
+      remainingCapacity -= demands[index]!.tokens
     }
     open = open.filter((index) => !satisfied.includes(index))
   }
@@ -67,17 +67,17 @@
 }
 
 /** Jain's index of the ratio between each account's completed work and its weighted max-min share of all completed work. */
-export const measureFairness = (served: readonly Served[], window: Window): number => {
+export const measureFairness = (served: readonly RequestMeasurement[], window: TimeWindow): number => {
   const inWindow = served.filter((result) => isInWindow(result, window))
-  const of = (account: Account): readonly Served[] => inWindow.filter(({ arrival }) => arrival.account === account)
-  const work = accounts.map((account) => countTokens(of(account).filter(({ outcome }) => outcome === 'complete')))
-  const demands = accounts.map((account) => ({ weight: account.weight, tokens: countTokens(of(account)) }))
+  const filterByAccount = (account: Account): readonly RequestMeasurement[] => inWindow.filter(({ arrival }) => arrival.account === account)
+  const work = accounts.map((account) => countTokens(filterByAccount(account).filter(({ outcome }) => outcome === 'complete')))
+  const demands = accounts.map((account) => ({ weight: account.weight, tokens: countTokens(filterByAccount(account)) }))
   const shares = computeMaxMinShares(demands, work.reduce((sum, tokens) => sum + tokens, 0))
   return computeJainIndex(work.map((tokens, index) => tokens / shares[index]!))
 }
 
 /** Jain's index of completed work by weight, for runs in which every account requests more than its share. */
-export const measureWeightFairness = (served: readonly Served[], window: Window): number => {
+export const measureWeightFairness = (served: readonly RequestMeasurement[], window: TimeWindow): number => {
   const complete = served.filter((result) => isInWindow(result, window) && result.outcome === 'complete')
   return computeJainIndex(accounts.map((account) => countTokens(complete.filter(({ arrival }) => arrival.account === account)) / account.weight))
 }
--- a/src/bench/fairness/_lib/runTrial.ts
+++ b/src/bench/fairness/_lib/runTrial.ts
@@ -2,7 +2,7 @@
 import { createManualClock } from '../../../emulator/createManualClock/index.js'
 import { createAdmission, defaultAdmissionOptions } from '../../../services/admission/index.js'
 import type { Admission, Clock, Configuration } from '../../../types/index.js'
-import { createFirstComeAdmission } from './createFirstComeAdmission.js'
+import { createFirstComeFirstServedAdmission } from './createFirstComeFirstServedAdmission.js'
 import { accounts } from './workload.js'
 import type { Arrival } from './workload.js'
 
@@ -12,7 +12,7 @@
 export type Policy = 'fair' | 'fairAlone' | 'firstCome'
 
 /** Outcome of one request; times in milliseconds. */
-export type Served = {
+export type RequestMeasurement = {
   readonly arrival: Arrival
   readonly outcome: 'complete' | 'refused'
   readonly firstTokenMs: number
@@ -21,14 +21,14 @@
 const ROUTERS = 3
 
 /** Spreads requests over all routers in round-robin order. */
-export const balanceByTurns: Balancer = (_arrival, index) => index % ROUTERS
+export const balanceRoundRobin: Balancer = (_arrival, index) => index % ROUTERS
 
 const SLOTS = 48
 const PREFILL_MS_PER_TOKEN = 0.5
 const DECODE_MS_PER_TOKEN = 30
 const DEADLINE_MS = 20_000
 /** Intervals at which routers exchange their counts of requests in flight and the usage of accounts. */
-const COUNT_DELAY_MS = 250
+const COUNT_INTERVAL_MS = 250
 const USAGE_INTERVAL_MS = 1_000
 const STEP_MS = 5
 const SERVICE = 'desk'
@@ -54,13 +54,13 @@
 const createRouters = (clock: Clock, policy: Policy): readonly Router[] => {
   const routers: Router[] = []
   for (let index = 0; index < ROUTERS; index += 1) {
-    const slotsForNode = (): number => {
+    const countSlots = (): number => {
       const others = routers.filter((_, other) => other !== index)
       return Math.max(0, SLOTS - others.reduce((sum, router) => sum + router.publishedInFlight, 0))
     }
     const admission = policy === 'firstCome'
-      ? createFirstComeAdmission(clock, slotsForNode, defaultAdmissionOptions.maximumQueued, defaultAdmissionOptions.pollIntervalMs)
-      : createAdmission({ clock, configuration: { current: () => configuration }, countSlots: slotsForNode }).api
+      ? createFirstComeFirstServedAdmission(clock, countSlots, defaultAdmissionOptions.maximumQueued, defaultAdmissionOptions.pollIntervalMs)
+      : createAdmission({ clock, configuration: { current: () => configuration }, countSlots }).api
     routers.push({ admission, inFlight: 0, publishedInFlight: 0 })
   }
   return routers
@@ -68,7 +68,7 @@
 
 const exchangeCounts = (clock: Clock, routers: readonly Router[]): void => {
   for (const router of routers) router.publishedInFlight = router.inFlight
-  clock.setTimer(COUNT_DELAY_MS, () => { exchangeCounts(clock, routers) })
+  clock.setTimer(COUNT_INTERVAL_MS, () => { exchangeCounts(clock, routers) })
 }
 
 const exchangeUsage = (clock: Clock, routers: readonly Router[]): void => {
@@ -79,7 +79,7 @@
   clock.setTimer(USAGE_INTERVAL_MS, () => { exchangeUsage(clock, routers) })
 }
 
-const serve = async (clock: Clock, router: Router, arrival: Arrival, record: (served: Served) => void): Promise<void> => {
+const simulateRequest = async (clock: Clock, router: Router, arrival: Arrival, record: (served: RequestMeasurement) => void): Promise<void> => {
   const arrivedAt = clock.now()
   const admitted = await router.admission.admit({
     clientAccount: arrival.account.name,
@@ -107,14 +107,14 @@
  * @param balance - Selects the router of a request.
  * @returns The outcome of each request.
  */
-export const runTrial = async (arrivals: readonly Arrival[], policy: Policy, balance: Balancer = balanceByTurns): Promise<readonly Served[]> => {
+export const runTrial = async (arrivals: readonly Arrival[], policy: Policy, balance: Balancer = balanceRoundRobin): Promise<readonly RequestMeasurement[]> => {
   const clock = createManualClock()
   const routers = createRouters(clock, policy)
-  const served: Served[] = []
+  const served: RequestMeasurement[] = []
   exchangeCounts(clock, routers)
   if (policy === 'fair') exchangeUsage(clock, routers)
   for (const [index, arrival] of arrivals.entries()) {
-    clock.setTimer(arrival.at, () => { serve(clock, routers[balance(arrival, index)]!, arrival, (result) => { served.push(result) }) })
+    clock.setTimer(arrival.at, () => { simulateRequest(clock, routers[balance(arrival, index)]!, arrival, (result) => { served.push(result) }) })
   }
   while (served.length < arrivals.length) await clock.advanceAndSettle(STEP_MS)
   return served
--- a/src/bench/fairness/_lib/workload.ts
+++ b/src/bench/fairness/_lib/workload.ts
@@ -1,7 +1,7 @@
 /** Generates the requests of ten accounts, two of which may temporarily send several times as many. */
 import type { RandomSource } from '../../../types/index.js'
 
-export type Account = { readonly name: string, readonly weight: number, readonly surges: boolean }
+export type Account = { readonly name: string, readonly weight: number, readonly canSurge: boolean }
 
 export type Arrival = {
   readonly at: number
@@ -27,17 +27,17 @@
 
 /** Eight accounts of weight 1, of which two surge, and two large ones of weight 3. */
 export const accounts: readonly Account[] = [
-  ...Array.from({ length: 6 }, (_, index) => ({ name: `calm-${index + 1}`, weight: 1, surges: false })),
-  { name: 'large-1', weight: 3, surges: false },
-  { name: 'large-2', weight: 3, surges: false },
-  { name: 'surging-1', weight: 1, surges: true },
-  { name: 'surging-2', weight: 1, surges: true }
+  ...Array.from({ length: 6 }, (_, index) => ({ name: `calm-${index + 1}`, weight: 1, canSurge: false })),
+  { name: 'large-1', weight: 3, canSurge: false },
+  { name: 'large-2', weight: 3, canSurge: false },
+  { name: 'surging-1', weight: 1, canSurge: true },
+  { name: 'surging-2', weight: 1, canSurge: true }
 ]
 
 const drawBetween = (random: RandomSource, low: number, high: number): number => low + Math.floor(random.next() * (high - low + 1))
 
 const rateAt = (account: Account, at: number, options: WorkloadOptions): number => {
-  const isSurging = account.surges && at >= options.surgeFromMs && at < options.surgeToMs
+  const isSurging = account.canSurge && at >= options.surgeFromMs && at < options.surgeToMs
   return options.rateOf(account) * (isSurging ? options.surge : 1)
 }
 
--- a/src/bench/fairness/index.ts
+++ b/src/bench/fairness/index.ts
@@ -7,9 +7,9 @@
 import type { RandomSource } from '../../types/index.js'
 import type { Bench, Cell, Table } from '../types.js'
 import { measureFairness, measureGroup, measureWeightFairness } from './_lib/measure.js'
-import type { Window } from './_lib/measure.js'
-import { balanceByTurns, runTrial } from './_lib/runTrial.js'
-import type { Balancer, Policy, Served } from './_lib/runTrial.js'
+import type { TimeWindow } from './_lib/measure.js'
+import { balanceRoundRobin, runTrial } from './_lib/runTrial.js'
+import type { Balancer, Policy, RequestMeasurement } from './_lib/runTrial.js'
 import { accounts, createArrivals } from './_lib/workload.js'
 import type { Account, WorkloadOptions } from './_lib/workload.js'
 
@@ -29,9 +29,9 @@
   { policy: 'firstCome', title: 'first come first served' }
 ]
 
-const isSurging = (account: Account): boolean => account.surges
+const isSurging = (account: Account): boolean => account.canSurge
 
-const isCalm = (account: Account): boolean => !account.surges
+const isCalm = (account: Account): boolean => !account.canSurge
 
 const formatMs = (value: number): number => Math.round(value)
 
@@ -39,7 +39,7 @@
 
 const createRandomByAccount = (seed: number) => (index: number): RandomSource => createSeededRandom(seed + SEED_STRIDE * (index + 1))
 
-const describeSurgeRun = (title: string, load: string, served: readonly Served[], window: Window): readonly Cell[] => {
+const describeSurgeRun = (title: string, load: string, served: readonly RequestMeasurement[], window: TimeWindow): readonly Cell[] => {
   const calm = measureGroup(served, window, isCalm)
   const surging = measureGroup(served, window, isSurging)
   return [
@@ -67,11 +67,11 @@
 }
 
 /** Sends the requests of the calm accounts of weight 1 to one router, as sticky connections would. */
-const keepCalmOnOneRouter: Balancer = (arrival, index) => arrival.account.name.startsWith('calm') ? 0 : balanceByTurns(arrival, index)
+const pinCalmAccounts: Balancer = (arrival, index) => arrival.account.name.startsWith('calm') ? 0 : balanceRoundRobin(arrival, index)
 
 const balancers: readonly { readonly balance: Balancer, readonly title: string }[] = [
-  { balance: balanceByTurns, title: 'spread over all routers' },
-  { balance: keepCalmOnOneRouter, title: 'six accounts reach one router only' }
+  { balance: balanceRoundRobin, title: 'spread over all routers' },
+  { balance: pinCalmAccounts, title: 'six accounts reach one router only' }
 ]
 
 const measureSaturation = async (seed: number, durationMs: number): Promise<Table> => {
--- a/src/bench/fleetLoad/index.ts
+++ b/src/bench/fleetLoad/index.ts
@@ -8,10 +8,10 @@
 import type { LoadSummary } from '../../load/createLoadRecorder/index.js'
 import { DEFAULT_LOAD_PLAN, planLoad } from '../../load/planLoad/index.js'
 import { runLoad } from '../../load/runLoad/index.js'
-import { startRig, type Rig } from '../_lib/startRig.js'
+import { startBenchEnvironment, type BenchEnvironment } from '../_lib/startBenchEnvironment.js'
 import type { Bench, Cell } from '../types.js'
 
-const RIG = {
+const ENVIRONMENT = {
   routers: 6,
   engines: 6,
   services: 3,
@@ -42,7 +42,7 @@
   const seconds = fast ? FAST_SECONDS : FULL_SECONDS
   for (const rate of RATES) {
     for (const sendChatHints of [true, false]) {
-      const summary = await runOnFreshRig(rate, sendChatHints, seconds, seed)
+      const summary = await runInNewEnvironment(rate, sendChatHints, seconds, seed)
       const title = [rate, sendChatHints ? 'yes' : 'no']
       callers.push([...title, ...describeCallers(summary)])
       engines.push([...title, ...describeEngines(summary)])
@@ -54,21 +54,21 @@
   ]
 }
 
-const runOnFreshRig = async (rate: number, sendChatHints: boolean, seconds: number, seed: number): Promise<LoadSummary> => {
-  const rig = await startRig(RIG)
+const runInNewEnvironment = async (rate: number, sendChatHints: boolean, seconds: number, seed: number): Promise<LoadSummary> => {
+  const environment = await startBenchEnvironment(ENVIRONMENT)
   try {
-    return await sendLoad(rig, rate, sendChatHints, seconds, seed)
+    return await sendLoad(environment, rate, sendChatHints, seconds, seed)
   } finally {
-    await rig.stop()
+    await environment.stop()
   }
 }
 
-const sendLoad = (rig: Rig, rate: number, sendChatHints: boolean, seconds: number, seed: number): Promise<LoadSummary> => {
-  const plan = planLoad({ ...DEFAULT_LOAD_PLAN, rate, durationMs: seconds * 1000, accounts: rig.keys.length }, createSeededRandom(seed))
+const sendLoad = (environment: BenchEnvironment, rate: number, sendChatHints: boolean, seconds: number, seed: number): Promise<LoadSummary> => {
+  const plan = planLoad({ ...DEFAULT_LOAD_PLAN, rate, durationMs: seconds * 1000, accounts: environment.keys.length }, createSeededRandom(seed))
   return runLoad(plan, {
     clock: createSystemClock(),
-    routers: rig.routers.map(({ callerUrl }) => callerUrl),
-    keys: rig.keys,
+    routers: environment.routers.map(({ callerUrl }) => callerUrl),
+    keys: environment.keys,
     sendChatHints,
     timeoutMs: TIMEOUT_MS,
     maximumOpen: MAXIMUM_OPEN
--- a/src/bench/gatewayControl/index.ts
+++ b/src/bench/gatewayControl/index.ts
@@ -41,7 +41,7 @@
 }
 
 /** Starts requests on each node at the given rate until stopped. */
-const runRequests = (fleet: InProcessFleet, random: () => number): (() => void) => {
+const generateRequests = (fleet: InProcessFleet, random: () => number): (() => void) => {
   let isStopped = false
   const startOne = (index: number): void => {
     if (isStopped) return
@@ -78,7 +78,7 @@
   for (let index = 0; index < size.servers; index++) fleet.putInstance(`engine-${index}`, { availabilityZone: `zone-${index % size.zones}` })
   await fleet.start()
   await fleet.clock.advanceAndSettle(WARM_UP_MS / 2)
-  const stopRequests = runRequests(fleet, random)
+  const stopRequests = generateRequests(fleet, random)
   await fleet.clock.advanceAndSettle(WARM_UP_MS / 2)
   const before = readBytes(fleet)
   const messagesBefore = readMessages(fleet)
--- a/src/bench/placement/_lib/createMeasurement.ts
+++ b/src/bench/placement/_lib/createMeasurement.ts
@@ -3,7 +3,7 @@
 import type { JobUsage } from '../../../emulator/createModelEngine/index.js'
 import type { Clock } from '../../../types/index.js'
 
-export type Measures = {
+export type PlacementMetrics = {
   readonly turns: number
   readonly refused: number
   /** Share of the prompt tokens of returning turns that were in the cache. */
@@ -11,7 +11,7 @@
   readonly hitShare: number
   /** 99th percentile and maximum of the ratio of highest to mean load over the samples. */
   readonly skew99: number
-  readonly worstSkew: number
+  readonly maximumSkew: number
   /** Share of samples in which at least one engine was above the limit, which is rounded up to a whole request. */
   readonly shareAboveLimit: number
   /** Share of placements that raised an engine above the limit. */
@@ -20,7 +20,7 @@
   readonly firstTokenMedianMs: number
   readonly firstToken95Ms: number
   readonly controlBytesPerSecond: number
-  readonly worstControlBytesPerSecond: number
+  readonly maximumControlBytesPerSecond: number
 }
 
 export type Measurement = {
@@ -29,11 +29,11 @@
   readonly sampleLoads: (loads: readonly number[]) => void
   readonly countRefused: () => void
   readonly recordControlBytes: (bytesPerSecond: readonly number[]) => void
-  readonly read: () => Measures
+  readonly read: () => PlacementMetrics
 }
 
 /** Below this mean load, rounding dominates the ratio, so samples are not meaningful for skew. */
-const LEAST_MEAN_LOAD = 2
+const MINIMUM_MEAN_LOAD = 2
 const RATIO_SCALE = 1000
 
 const sum = (numbers: readonly number[]): number => numbers.reduce((total, number) => total + number, 0)
@@ -53,16 +53,16 @@
   const skews = build()
   const totals = { turns: 0, refused: 0, prompt: 0, cached: 0, returningPrompt: 0, returningCached: 0, samples: 0, above: 0, placements: 0, placementsAbove: 0, load: 0 }
   let controlBytes: readonly number[] = [0]
-  const counts = (): boolean => clock.now() >= options.from
+  const isMeasuring = (): boolean => clock.now() >= options.from
 
   return {
     observePlacement: (loads, chosenLoad) => {
-      if (!counts()) return
+      if (!isMeasuring()) return
       totals.placements += 1
       if (isAboveLimit(chosenLoad, loads, options.loadLimit)) totals.placementsAbove += 1
     },
     observeFirstToken: (durationMs, isReturning, usage) => {
-      if (!counts()) return
+      if (!isMeasuring()) return
       totals.turns += 1
       firstTokens.recordValue(Math.round(durationMs))
       totals.prompt += usage.promptTokens
@@ -73,14 +73,14 @@
     },
     sampleLoads: (loads) => {
       const mean = sum(loads) / loads.length
-      if (!counts() || mean < LEAST_MEAN_LOAD) return
+      if (!isMeasuring() || mean < MINIMUM_MEAN_LOAD) return
       const highest = Math.max(...loads)
       totals.samples += 1
       totals.load += mean
       skews.recordValue(Math.round(highest / mean * RATIO_SCALE))
       if (isAboveLimit(highest, loads, options.loadLimit)) totals.above += 1
     },
-    countRefused: () => { if (counts()) totals.refused += 1 },
+    countRefused: () => { if (isMeasuring()) totals.refused += 1 },
     recordControlBytes: (bytesPerSecond) => { controlBytes = bytesPerSecond },
     read: () => ({
       turns: totals.turns,
@@ -88,14 +88,14 @@
       returningHitShare: totals.returningCached / totals.returningPrompt,
       hitShare: totals.cached / totals.prompt,
       skew99: skews.getValueAtPercentile(99) / RATIO_SCALE,
-      worstSkew: skews.maxValue / RATIO_SCALE,
+      maximumSkew: skews.maxValue / RATIO_SCALE,
       shareAboveLimit: totals.above / totals.samples,
       placementsAboveLimit: totals.placementsAbove / totals.placements,
       meanLoad: totals.load / totals.samples,
       firstTokenMedianMs: firstTokens.getValueAtPercentile(50),
       firstToken95Ms: firstTokens.getValueAtPercentile(95),
       controlBytesPerSecond: sum(controlBytes) / controlBytes.length,
-      worstControlBytesPerSecond: Math.max(...controlBytes)
+      maximumControlBytesPerSecond: Math.max(...controlBytes)
     })
   }
 }
--- a/src/bench/placement/_lib/createSimulation.ts
+++ b/src/bench/placement/_lib/createSimulation.ts
@@ -83,14 +83,14 @@
   let engineCount = 0
   let configuration = composeConfiguration([], deployment, 0)
 
-  const configure = (): void => {
+  const updateConfiguration = (): void => {
     configuration = composeConfiguration([...engines.keys()], deployment, configuration.generation + 1)
   }
 
   const addEngine = (): void => {
     const name = `engine-${engineCount++}`
     engines.set(name, { name, engine: createModelEngine(clock, { slots: deployment.slots, cacheTokens: deployment.cacheTokensPerEngine, decodeIntervalMs: deployment.decodeIntervalMs }) })
-    configure()
+    updateConfiguration()
   }
   for (let index = 0; index < deployment.engines; index++) addEngine()
 
@@ -120,22 +120,22 @@
     .map(({ name, engine }) => ({
       name,
       weight: deployment.slots,
-      inFlight: policy.knowsAll ? readLoad(engine) : routers[routerIndex]!.loadView.estimateInFlight(name)
+      inFlight: policy.hasExactState ? readLoad(engine) : routers[routerIndex]!.loadView.estimateInFlight(name)
     }))
 
-  const findMemory = async (router: BenchRouter, chat: Chat): Promise<string | undefined> => {
-    if (!policy.usesMemory || chat.turn === 1) return undefined
-    return policy.knowsAll ? lastServedBy.get(chat.chatKey) : router.chatDirectory.lookUp(chat.chatKey)
+  const findLastServer = async (router: BenchRouter, chat: Chat): Promise<string | undefined> => {
+    if (!policy.usesLastServer || chat.turn === 1) return undefined
+    return policy.hasExactState ? lastServedBy.get(chat.chatKey) : router.chatDirectory.lookUp(chat.chatKey)
   }
 
   const serveTurn = async (chat: Chat): Promise<void> => {
     const routerIndex = Math.floor(random.next() * routers.length)
     const router = routers[routerIndex]!
-    const remembered = await findMemory(router, chat)
-    const chosen = policy.choose({
+    const lastServer = await findLastServer(router, chat)
+    const chosen = policy.selectServer({
       chatKey: chat.chatKey,
       isNewChat: chat.turn === 1,
-      ...(remembered === undefined ? {} : { hintedBackendServer: remembered }),
+      ...(lastServer === undefined ? {} : { hintedBackendServer: lastServer }),
       candidates: listCandidates(routerIndex),
       random,
       loadTarget: options.loadTarget ?? deployment.loadTarget,
@@ -164,7 +164,7 @@
       stopListening()
       router.loadView.recordEnd(name)
       lastServedBy.set(chat.chatKey, name)
-      if (policy.usesMemory && !policy.knowsAll) router.chatDirectory.store(chat.chatKey, name)
+      if (policy.usesLastServer && !policy.hasExactState) router.chatDirectory.store(chat.chatKey, name)
       scheduleNextTurn(chat, job.value.answer.text)
     })
   }
@@ -198,7 +198,7 @@
     addEngine,
     removeEngine: (name) => {
       engines.delete(name)
-      configure()
+      updateConfiguration()
     },
     hideEngine: (router, name) => {
       if (name === undefined) hidden.delete(router)
@@ -212,8 +212,8 @@
       await clock.advanceAndSettle(options.warmUpMs)
       const before = routers.map((router) => router.readControlBytes())
       await clock.advanceAndSettle(options.measuredMs)
-      const spent = routers.map((router, index) => router.readControlBytes() - (before[index] ?? 0))
-      measurement.recordControlBytes(spent.map((bytes) => bytes * 1000 / options.measuredMs))
+      const sentBytes = routers.map((router, index) => router.readControlBytes() - (before[index] ?? 0))
+      measurement.recordControlBytes(sentBytes.map((bytes) => bytes * 1000 / options.measuredMs))
     }
   }
 }
--- a/src/bench/placement/_lib/createWorkload.ts
+++ b/src/bench/placement/_lib/createWorkload.ts
@@ -25,10 +25,10 @@
 }
 
 const MEAN_TURNS = 6
-const MOST_TURNS = 30
+const MAXIMUM_TURNS = 30
 const SYSTEM_PROMPT_CHARACTERS = 1_600
-const SHORTEST_QUESTION = 80
-const QUESTION_CHARACTERS = 240
+const MINIMUM_QUESTION_CHARACTERS = 80
+const ADDITIONAL_QUESTION_CHARACTERS = 240
 const SHORT_PAUSE_MS = 8_000
 const LONG_PAUSE_MS = 60_000
 const LONG_PAUSE_SHARE = 0.2
@@ -62,7 +62,7 @@
   let begun = 0
 
   const writeQuestion = (chatKey: string, turn: number): ChatMessage => {
-    const length = SHORTEST_QUESTION + Math.floor(random.next() * QUESTION_CHARACTERS)
+    const length = MINIMUM_QUESTION_CHARACTERS + Math.floor(random.next() * ADDITIONAL_QUESTION_CHARACTERS)
     return { role: 'user', content: `${chatKey} turn ${turn} `.padEnd(length, 'how much is left ') }
   }
 
@@ -71,7 +71,7 @@
       const clientAccount = `account-${drawAccount()}`
       const chatKey = `${clientAccount}/chat-${begun++}`
       const system = { role: 'system', content: `${clientAccount} `.padEnd(SYSTEM_PROMPT_CHARACTERS, 'answers briefly ') }
-      const turns = Math.min(MOST_TURNS, 1 + Math.floor(drawExponential(random, MEAN_TURNS - 0.5)))
+      const turns = Math.min(MAXIMUM_TURNS, 1 + Math.floor(drawExponential(random, MEAN_TURNS - 0.5)))
       return { chatKey, clientAccount, turn: 1, turns, messages: [system, writeQuestion(chatKey, 1)] }
     },
     continueChat: (chat, answer) => {
--- a/src/bench/placement/_lib/policies.ts
+++ b/src/bench/placement/_lib/policies.ts
@@ -4,7 +4,7 @@
 import { rankBackendServers } from '../../../decisions/rankBackendServers/index.js'
 import type { RandomSource } from '../../../types/index.js'
 
-export type PolicyDemand = {
+export type PolicyInput = {
   readonly chatKey: string
   readonly isNewChat: boolean
   readonly hintedBackendServer?: string
@@ -15,16 +15,16 @@
 }
 
 export type Policy = {
-  readonly choose: (demand: PolicyDemand) => LoadedCandidate | undefined
+  readonly selectServer: (demand: PolicyInput) => LoadedCandidate | undefined
   /** Whether the policy looks up the server that last served the chat. */
-  readonly usesMemory: boolean
+  readonly usesLastServer: boolean
   /** Whether loads and last servers are exact and up to date, as if a single router handled all requests. */
-  readonly knowsAll: boolean
+  readonly hasExactState: boolean
 }
 
 const NONE: ReadonlySet<string> = new Set()
 
-const pickRandom = ({ candidates, random }: PolicyDemand): LoadedCandidate | undefined => candidates[Math.floor(random.next() * candidates.length)]
+const pickRandom = ({ candidates, random }: PolicyInput): LoadedCandidate | undefined => candidates[Math.floor(random.next() * candidates.length)]
 
 const pickLessLoaded = (one: LoadedCandidate | undefined, other: LoadedCandidate | undefined): LoadedCandidate | undefined => {
   if (one === undefined || other === undefined) return one ?? other
@@ -33,36 +33,36 @@
 
 type BoundedOptions = {
   /** Uses the load limit as the load target. */
-  readonly atLimit?: boolean
-  readonly usesMemory: boolean
+  readonly targetsLimit?: boolean
+  readonly usesLastServer: boolean
   readonly newChatChoices: number
   /** Uses a separate, lower load target for new chats. */
-  readonly splitsTarget?: boolean
-  readonly knowsAll?: boolean
+  readonly hasNewChatTarget?: boolean
+  readonly hasExactState?: boolean
 }
 
-const createBounded = (options: BoundedOptions): Policy => ({
-  usesMemory: options.usesMemory,
-  knowsAll: options.knowsAll === true,
-  choose: (demand) => {
-    const loadTarget = options.atLimit === true ? demand.loadLimit : demand.loadTarget
+const createBoundedPolicy = (options: BoundedOptions): Policy => ({
+  usesLastServer: options.usesLastServer,
+  hasExactState: options.hasExactState === true,
+  selectServer: (demand) => {
+    const loadTarget = options.targetsLimit === true ? demand.loadLimit : demand.loadTarget
     return chooseBackendServer({ ...demand, excluded: NONE }, demand.candidates, {
       loadTarget,
       loadLimit: demand.loadLimit,
       newChatChoices: options.newChatChoices,
-      ...(options.splitsTarget === true ? {} : { newChatLoadTarget: loadTarget })
+      ...(options.hasNewChatTarget === true ? {} : { newChatLoadTarget: loadTarget })
     })
   }
 })
 
 export const policies: Readonly<Record<string, Policy>> = {
-  random: { usesMemory: false, knowsAll: false, choose: pickRandom },
-  'plain rendezvous': { usesMemory: false, knowsAll: false, choose: ({ chatKey, candidates }) => rankBackendServers(chatKey, candidates)[0] },
-  'least of two': { usesMemory: false, knowsAll: false, choose: (demand) => pickLessLoaded(pickRandom(demand), pickRandom(demand)) },
-  'bounded at the limit': createBounded({ atLimit: true, usesMemory: false, newChatChoices: 1 }),
-  'bounded at the target': createBounded({ usesMemory: false, newChatChoices: 1 }),
-  'bounded, memory': createBounded({ usesMemory: true, newChatChoices: 1 }),
-  'bounded, memory, two choices': createBounded({ usesMemory: true, newChatChoices: 2 }),
-  'bounded, memory, new chats apart': createBounded({ usesMemory: true, newChatChoices: 4, splitsTarget: true }),
-  'unlimited knowledge': createBounded({ atLimit: true, usesMemory: true, newChatChoices: 2, knowsAll: true })
+  random: { usesLastServer: false, hasExactState: false, selectServer: pickRandom },
+  'plain rendezvous': { usesLastServer: false, hasExactState: false, selectServer: ({ chatKey, candidates }) => rankBackendServers(chatKey, candidates)[0] },
+  'least of two': { usesLastServer: false, hasExactState: false, selectServer: (demand) => pickLessLoaded(pickRandom(demand), pickRandom(demand)) },
+  'bounded at the limit': createBoundedPolicy({ targetsLimit: true, usesLastServer: false, newChatChoices: 1 }),
+  'bounded at the target': createBoundedPolicy({ usesLastServer: false, newChatChoices: 1 }),
+  'bounded, memory': createBoundedPolicy({ usesLastServer: true, newChatChoices: 1 }),
+  'bounded, memory, two choices': createBoundedPolicy({ usesLastServer: true, newChatChoices: 2 }),
+  'bounded, memory, new chats apart': createBoundedPolicy({ usesLastServer: true, newChatChoices: 4, hasNewChatTarget: true }),
+  'unlimited knowledge': createBoundedPolicy({ targetsLimit: true, usesLastServer: true, newChatChoices: 2, hasExactState: true })
 }
--- a/src/bench/placement/_lib/scenarios.ts
+++ b/src/bench/placement/_lib/scenarios.ts
@@ -9,7 +9,7 @@
 const DISAGREEMENT_MS = 5_000
 const DISAGREEING_SHARE = 0.3
 
-const at = (simulation: Simulation, time: number, action: () => void): void => {
+const scheduleAt = (simulation: Simulation, time: number, action: () => void): void => {
   simulation.clock.setTimer(time - simulation.clock.now(), action)
 }
 
@@ -24,7 +24,7 @@
 }
 
 /** Hides the first engine from each router, or shows it again, after a random delay per router. */
-const toggleFirst = (simulation: Simulation, isGone: boolean): void => {
+const toggleFirstEngine = (simulation: Simulation, isGone: boolean): void => {
   const first = simulation.engines()[0]
   simulation.routers.forEach((_router, index) => {
     const delayMs = simulation.random.next() * FLAP_MS / 4
@@ -43,15 +43,15 @@
 
 export const scenarios: Readonly<Record<string, Scenario>> = {
   steady: () => {},
-  'one engine leaves': (simulation, { from, until }) => at(simulation, from + (until - from) / 4, () => removeOldest(simulation)),
+  'one engine leaves': (simulation, { from, until }) => scheduleAt(simulation, from + (until - from) / 4, () => removeOldest(simulation)),
   'churn 10 %/min': (simulation, { from, until }) => {
     const interval = MINUTE_MS / (CHURN_SHARE_PER_MINUTE * simulation.engines().length)
-    for (let time = from + interval / 2; time < until; time += interval) at(simulation, time, () => replaceOldest(simulation))
+    for (let time = from + interval / 2; time < until; time += interval) scheduleAt(simulation, time, () => replaceOldest(simulation))
   },
   'one engine flaps': (simulation, { from, until }) => {
-    for (let time = from; time < until; time += FLAP_MS) at(simulation, time, () => toggleFirst(simulation, (time - from) / FLAP_MS % 2 === 0))
+    for (let time = from; time < until; time += FLAP_MS) scheduleAt(simulation, time, () => toggleFirstEngine(simulation, (time - from) / FLAP_MS % 2 === 0))
   },
   'routers disagree': (simulation, { from, until }) => {
-    for (let time = from; time < until; time += DISAGREEMENT_MS) at(simulation, time, () => shuffleViews(simulation))
+    for (let time = from; time < until; time += DISAGREEMENT_MS) scheduleAt(simulation, time, () => shuffleViews(simulation))
   }
 }
--- a/src/bench/placement/index.ts
+++ b/src/bench/placement/index.ts
@@ -3,7 +3,7 @@
  * the tables.
  */
 import type { BenchOptions, Cell, Table } from '../types.js'
-import type { Measures } from './_lib/createMeasurement.js'
+import type { PlacementMetrics } from './_lib/createMeasurement.js'
 import { createSimulation } from './_lib/createSimulation.js'
 import { deployments, type Deployment } from './_lib/deployments.js'
 import { policies } from './_lib/policies.js'
@@ -13,7 +13,7 @@
 
 const FULL: Times = { warmUpMs: 180_000, measuredMs: 300_000 }
 const FAST: Times = { warmUpMs: 60_000, measuredMs: 60_000 }
-const CHOSEN_POLICY = 'bounded, memory, new chats apart'
+const ROUTER_POLICY = 'bounded, memory, new chats apart'
 const TARGETS = [1.1, 1.2, 1.26, 1.32, 1.4, 1.5]
 const SETTLE_MS = 5_000
 
@@ -24,23 +24,23 @@
 
 const formatShare = (share: number): string => `${(share * 100).toFixed(1)} %`
 
-const formatMeasures = (measures: Measures): readonly Cell[] => [
+const formatMetrics = (measures: PlacementMetrics): readonly Cell[] => [
   formatShare(measures.returningHitShare),
   formatShare(measures.hitShare),
   measures.skew99.toFixed(2),
-  measures.worstSkew.toFixed(2),
+  measures.maximumSkew.toFixed(2),
   formatShare(measures.shareAboveLimit),
   formatShare(measures.placementsAboveLimit),
   measures.firstTokenMedianMs,
   measures.firstToken95Ms,
   Math.round(measures.controlBytesPerSecond),
-  Math.round(measures.worstControlBytesPerSecond),
+  Math.round(measures.maximumControlBytesPerSecond),
   measures.meanLoad.toFixed(1),
   measures.turns,
   measures.refused
 ]
 
-type Run = {
+type RunOptions = {
   readonly deployment: Deployment
   readonly policy: string
   readonly scenario: string
@@ -49,7 +49,7 @@
   readonly loadTarget?: number
 }
 
-const runOnce = async (run: Run): Promise<Measures> => {
+const runOnce = async (run: RunOptions): Promise<PlacementMetrics> => {
   const { deployment, seed, times } = run
   const simulation = createSimulation({
     deployment,
@@ -68,7 +68,7 @@
   const rows: (readonly Cell[])[] = []
   for (const policy of Object.keys(policies)) {
     const measures = await runOnce({ deployment, policy, scenario, seed: options.seed, times: options.fast ? FAST : FULL })
-    rows.push([policy, ...formatMeasures(measures)])
+    rows.push([policy, ...formatMetrics(measures)])
   }
   const { name, routers, engines } = deployment
   return { title: `${name}: ${routers} routers, ${engines} engines, limit ${deployment.loadLimit}, ${scenario}`, columns: ['policy', ...COLUMNS], rows }
@@ -77,10 +77,10 @@
 const compareTargets = async (deployment: Deployment, options: BenchOptions): Promise<Table> => {
   const rows: (readonly Cell[])[] = []
   for (const loadTarget of TARGETS) {
-    const measures = await runOnce({ deployment, policy: CHOSEN_POLICY, scenario: 'steady', seed: options.seed, times: options.fast ? FAST : FULL, loadTarget })
-    rows.push([loadTarget, ...formatMeasures(measures)])
+    const measures = await runOnce({ deployment, policy: ROUTER_POLICY, scenario: 'steady', seed: options.seed, times: options.fast ? FAST : FULL, loadTarget })
+    rows.push([loadTarget, ...formatMetrics(measures)])
   }
-  return { title: `${deployment.name}: load target of "${CHOSEN_POLICY}", steady`, columns: ['target', ...COLUMNS], rows }
+  return { title: `${deployment.name}: load target of "${ROUTER_POLICY}", steady`, columns: ['target', ...COLUMNS], rows }
 }
 
 const FAST_DEPLOYMENTS = 2
--- a/src/bench/quantiles/index.ts
+++ b/src/bench/quantiles/index.ts
@@ -33,9 +33,9 @@
 const NODES = 9
 const FULL_SAMPLES = 200_000
 const FAST_SAMPLES = 40_000
-const SHARES = [0.5, 0.9, 0.99, 0.999]
-const HIGHEST_MS = 600_000
-const DIGITS = 2
+const QUANTILES = [0.5, 0.9, 0.99, 0.999]
+const MAXIMUM_LATENCY_MS = 600_000
+const SIGNIFICANT_DIGITS = 2
 const SCALE = 10
 const DOUBLE_BYTES = 8
 
@@ -56,13 +56,13 @@
       return kind < 0.98 ? 60 + drawExponential(random, 60) : 400 + drawExponential(random, 900)
     }
   },
-  { name: 'heavy tail', draw: (random) => Math.min(HIGHEST_MS, 5 * (1 - random.next()) ** (-1 / 1.1)) },
+  { name: 'heavy tail', draw: (random) => Math.min(MAXIMUM_LATENCY_MS, 5 * (1 - random.next()) ** (-1 / 1.1)) },
   // I.i.d. samples over many orders of magnitude, as in section 4 of the paper that compares quantile summaries.
-  { name: 'highly non-uniform', draw: (random) => Math.min(HIGHEST_MS, Math.max(0.1, Math.exp(4 * drawNormal(random)))) }
+  { name: 'highly non-uniform', draw: (random) => Math.min(MAXIMUM_LATENCY_MS, Math.max(0.1, Math.exp(4 * drawNormal(random)))) }
 ]
 
 const createHistogramSummary = (): Summary => {
-  const histogram: Histogram = build({ lowestDiscernibleValue: 1, highestTrackableValue: HIGHEST_MS * SCALE, numberOfSignificantValueDigits: DIGITS })
+  const histogram: Histogram = build({ lowestDiscernibleValue: 1, highestTrackableValue: MAXIMUM_LATENCY_MS * SCALE, numberOfSignificantValueDigits: SIGNIFICANT_DIGITS })
   return {
     observe: (value) => histogram.recordValue(Math.max(1, Math.round(value * SCALE))),
     encode: () => Buffer.from(encodeIntoCompressedBase64(histogram), 'base64'),
@@ -109,7 +109,7 @@
   const encoded = nodes.map((node) => node.encode())
   const merged = create()
   for (const bytes of encoded) merged.mergeEncoded(bytes)
-  const errors = SHARES.map((share) => formatError(merged.read(share), findQuantile(sorted, share)))
+  const errors = QUANTILES.map((share) => formatError(merged.read(share), findQuantile(sorted, share)))
   const bytes = encoded.reduce((sum, { length }) => sum + length, 0) / NODES
   return [name, ...errors, Math.round(bytes), ((spent.user + spent.system) * 1000 / values.length).toFixed(0)]
 }
@@ -120,7 +120,7 @@
   const sorted = values.toSorted()
   return {
     title: `Quantiles of ${mix.name}: ${samples} values over ${NODES} nodes, merged`,
-    columns: ['summary', ...SHARES.map((share) => `error at ${share}`), 'bytes a node', 'CPU ns an observation'],
+    columns: ['summary', ...QUANTILES.map((share) => `error at ${share}`), 'bytes a node', 'CPU ns an observation'],
     rows: Object.entries(summaries).map(([name, create]) => measureSummary(name, create, values, sorted))
   }
 }
--- a/src/bench/routerCost/_lib/askChat.ts
+++ b/src/bench/routerCost/_lib/measureChat.ts
@@ -5,7 +5,7 @@
 
 export type ChatTimes = {
   readonly firstByteMs: number
-  readonly wholeMs: number
+  readonly totalMs: number
   /** Events of the stream; 1 for an answer that is not streamed. */
   readonly events: number
 }
@@ -13,8 +13,8 @@
 export type ChatShape = { readonly stream: boolean, readonly maximumTokens: number }
 
 const LINE_FEED = 10
-const END = Buffer.from('data: [DONE]\n\n')
-const END_OF_WHOLE = Buffer.from('}}}')
+const STREAM_END = Buffer.from('data: [DONE]\n\n')
+const JSON_ANSWER_END = Buffer.from('}}}')
 
 /**
  * Sends one chat request and measures the times of its answer.
@@ -28,7 +28,7 @@
  * @example
  * await askChat(agent, target, { stream: true, maximumTokens: 32 }, 'question 1')
  */
-export const askChat = async (dispatcher: Dispatcher, target: ChatTarget, shape: ChatShape, question: string): Promise<ChatTimes> => {
+export const measureChat = async (dispatcher: Dispatcher, target: ChatTarget, shape: ChatShape, question: string): Promise<ChatTimes> => {
   const startedAt = performance.now()
   const response = await dispatcher.request({
     origin: target.origin,
@@ -43,12 +43,12 @@
   for await (const chunk of response.body as AsyncIterable<Buffer>) {
     firstByteMs ??= performance.now() - startedAt
     lineFeeds += countLineFeeds(chunk)
-    tail = Buffer.concat([tail, chunk]).subarray(-END.byteLength)
+    tail = Buffer.concat([tail, chunk]).subarray(-STREAM_END.byteLength)
   }
-  const isWhole = tail.subarray(-END.byteLength).equals(END) || tail.subarray(-END_OF_WHOLE.byteLength).equals(END_OF_WHOLE)
+  const isWhole = tail.subarray(-STREAM_END.byteLength).equals(STREAM_END) || tail.subarray(-JSON_ANSWER_END.byteLength).equals(JSON_ANSWER_END)
   if (response.statusCode !== 200 || !isWhole) throw new Error(`chat request failed: status ${response.statusCode}, the answer ends in ${tail.toString()}`)
   // Each event has three lines: its id, its data and an empty line.
-  return { firstByteMs: firstByteMs ?? 0, wholeMs: performance.now() - startedAt, events: shape.stream ? lineFeeds / 3 : 1 }
+  return { firstByteMs: firstByteMs ?? 0, totalMs: performance.now() - startedAt, events: shape.stream ? lineFeeds / 3 : 1 }
 }
 
 const countLineFeeds = (chunk: Buffer): number => {
--- a/src/bench/routerCost/index.ts
+++ b/src/bench/routerCost/index.ts
@@ -5,10 +5,10 @@
  */
 import { round } from '../_lib/statistics.js'
 import { Agent } from 'undici'
-import { askChat, type ChatShape, type ChatTarget, type ChatTimes } from './_lib/askChat.js'
+import { measureChat, type ChatShape, type ChatTarget, type ChatTimes } from './_lib/measureChat.js'
 import { pickQuantile } from './_lib/pickQuantile.js'
 import { readProcessFigures } from './_lib/readProcessFigures.js'
-import { RIG_MODEL, startRig, type Rig } from '../_lib/startRig.js'
+import { BENCH_MODEL, startBenchEnvironment, type BenchEnvironment } from '../_lib/startBenchEnvironment.js'
 import type { Bench, Cell, Table } from '../types.js'
 
 type Path = 'direct' | 'router'
@@ -25,10 +25,10 @@
   readonly memoryMegabytes: number
 }
 
-type Ask = (path: Path, shape: ChatShape) => Promise<ChatTimes>
+type SendRequest = (path: Path, shape: ChatShape) => Promise<ChatTimes>
 
 const ENGINE_FLAGS = ['--decode-interval', '1', '--decode-interval-per-request', '0', '--prefill-rate', '100000000', '--cache-tokens', '1000000']
-const RIG = { routers: 1, engines: 3, services: 0, accounts: 1, slots: 512, engineFlags: ENGINE_FLAGS }
+const ENVIRONMENT = { routers: 1, engines: 3, services: 0, accounts: 1, slots: 512, engineFlags: ENGINE_FLAGS }
 const WARM_UP_MS = 2000
 const CONCURRENCY = 64
 
@@ -58,45 +58,45 @@
  * await runRouterCostBench({ fast: true, seed: 1 })
  */
 export const runRouterCostBench: Bench = async ({ fast, seed }) => {
-  const rig = await startRig(RIG)
-  const { operatorUrl } = rig.routers[0]!
+  const environment = await startBenchEnvironment(ENVIRONMENT)
+  const { operatorUrl } = environment.routers[0]!
   const agent = new Agent({ connections: null, pipelining: 1 })
-  const ask = createAsk(rig, agent, seed)
+  const sendRequest = createRequestSender(environment, agent, seed)
   try {
-    for (const { shape } of THROUGHPUT_WORKLOADS) await runClosedLoop(operatorUrl, () => ask('router', shape), WARM_UP_MS)
+    for (const { shape } of THROUGHPUT_WORKLOADS) await runClosedLoop(operatorUrl, () => sendRequest('router', shape), WARM_UP_MS)
     const idle = await readProcessFigures(operatorUrl)
-    const latency = await measureLatency(ask, fast ? 200 : 1000)
-    const throughput = await measureThroughput(operatorUrl, ask, fast ? 3000 : 10_000)
+    const latency = await measureLatency(sendRequest, fast ? 200 : 1000)
+    const throughput = await measureThroughput(operatorUrl, sendRequest, fast ? 3000 : 10_000)
     return [latency, throughput, { title: 'memory of the router process after the warm-up', columns: ['MB'], rows: [[round(idle.memoryMegabytes)]] }]
   } finally {
     await agent.destroy()
-    await rig.stop()
+    await environment.stop()
   }
 }
 
-const createAsk = (rig: Rig, agent: Agent, seed: number): Ask => {
-  let asked = 0
-  const pickOrigin = (path: Path): string => path === 'router' ? rig.routers[0]!.callerUrl : rig.engineUrls[asked % rig.engineUrls.length]!
+const createRequestSender = (environment: BenchEnvironment, agent: Agent, seed: number): SendRequest => {
+  let sentCount = 0
+  const pickOrigin = (path: Path): string => path === 'router' ? environment.routers[0]!.callerUrl : environment.engineUrls[sentCount % environment.engineUrls.length]!
   return (path, shape) => {
-    asked += 1
-    const target: ChatTarget = { origin: pickOrigin(path), key: rig.keys[0]!, model: RIG_MODEL }
-    return askChat(agent, target, shape, `question ${seed}-${asked}`)
+    sentCount += 1
+    const target: ChatTarget = { origin: pickOrigin(path), key: environment.keys[0]!, model: BENCH_MODEL }
+    return measureChat(agent, target, shape, `question ${seed}-${sentCount}`)
   }
 }
 
-const askBoth = async (ask: Ask, shape: ChatShape): Promise<Readonly<Record<Path, ChatTimes>>> => {
-  const direct = await ask('direct', shape)
-  const router = await ask('router', shape)
+const measureBoth = async (sendRequest: SendRequest, shape: ChatShape): Promise<Readonly<Record<Path, ChatTimes>>> => {
+  const direct = await sendRequest('direct', shape)
+  const router = await sendRequest('router', shape)
   return { direct, router }
 }
 
-const measureLatency = async (ask: Ask, count: number): Promise<Table> => {
+const measureLatency = async (sendRequest: SendRequest, count: number): Promise<Table> => {
   const rows: Cell[][] = []
   for (const { title, shape } of LATENCY_WORKLOADS) {
     const pairs: Readonly<Record<Path, ChatTimes>>[] = []
-    for (let index = 0; index < count; index += 1) pairs.push(await askBoth(ask, shape))
+    for (let index = 0; index < count; index += 1) pairs.push(await measureBoth(sendRequest, shape))
     rows.push(describeLatency(`${title}, first byte`, pairs, ({ firstByteMs }) => firstByteMs))
-    rows.push(describeLatency(`${title}, to its end`, pairs, ({ wholeMs }) => wholeMs))
+    rows.push(describeLatency(`${title}, to its end`, pairs, ({ totalMs }) => totalMs))
   }
   return {
     title: `latency in ms, one request at a time, ${count} each`,
@@ -115,11 +115,11 @@
   return [title, ...cells]
 }
 
-const measureThroughput = async (operatorUrl: string, ask: Ask, durationMs: number): Promise<Table> => {
+const measureThroughput = async (operatorUrl: string, sendRequest: SendRequest, durationMs: number): Promise<Table> => {
   const rows: Cell[][] = []
   for (const { title, shape } of THROUGHPUT_WORKLOADS) {
     for (const path of ['direct', 'router'] as const) {
-      rows.push(describeThroughput(title, path, await runClosedLoop(operatorUrl, () => ask(path, shape), durationMs)))
+      rows.push(describeThroughput(title, path, await runClosedLoop(operatorUrl, () => sendRequest(path, shape), durationMs)))
     }
   }
   return {
@@ -129,14 +129,14 @@
   }
 }
 
-const runClosedLoop = async (operatorUrl: string, askOnce: () => Promise<ChatTimes>, durationMs: number): Promise<Throughput> => {
+const runClosedLoop = async (operatorUrl: string, sendOnce: () => Promise<ChatTimes>, durationMs: number): Promise<Throughput> => {
   const before = await readProcessFigures(operatorUrl)
   const startedAt = performance.now()
   let requests = 0
   let events = 0
   const work = async (): Promise<void> => {
     while (performance.now() - startedAt < durationMs) {
-      const times = await askOnce()
+      const times = await sendOnce()
       requests += 1
       events += times.events
     }
--- a/src/bench/warmUp/index.ts
+++ b/src/bench/warmUp/index.ts
@@ -20,7 +20,7 @@
 /** The window that a node applies to its own sends: a tenth longer, as a send may be delayed while it waits for the processor. */
 const OWN_WINDOW_MS = 1_100
 const FREEZES_PER_STEP = 0.002
-const LONGEST_FREEZE_MS = 3_000
+const MAXIMUM_FREEZE_MS = 3_000
 const MS_PER_SECOND = 1_000
 
 type Random = () => number
@@ -28,14 +28,14 @@
 /** Returns whether a node may send now, and records the send if so. */
 type Sender = (now: number) => boolean
 
-type Way = (self: Member, known: readonly Member[]) => Sender
+type SharingPolicy = (self: Member, known: readonly Member[]) => Sender
 
-const shareByRank: Way = (self, known) => {
+const shareByRank: SharingPolicy = (self, known) => {
   const { nodes, requestsPerNode: requestsEach } = computeWarmUpShares(BOUND)
-  const isAmong = rankMembers('server', known, nodes).includes(self)
+  const isSender = rankMembers('server', known, nodes).includes(self)
   let sends: number[] = []
   return (now) => {
-    if (!isAmong) return false
+    if (!isSender) return false
     sends = sends.filter((at) => at > now - OWN_WINDOW_MS)
     if (sends.length >= requestsEach) return false
     sends.push(now)
@@ -43,20 +43,20 @@
   }
 }
 
-const shareEqually: Way = (_self, known) => {
+const shareEqually: SharingPolicy = (_self, known) => {
   const perMs = BOUND.requestsPerSecond / known.length / MS_PER_SECOND
-  let saved = 0
-  let countedAt = 0
+  let availableSends = 0
+  let refilledAt = 0
   return (now) => {
-    saved = Math.min(1, saved + (now - countedAt) * perMs)
-    countedAt = now
-    if (saved < 1) return false
-    saved -= 1
+    availableSends = Math.min(1, availableSends + (now - refilledAt) * perMs)
+    refilledAt = now
+    if (availableSends < 1) return false
+    availableSends -= 1
     return true
   }
 }
 
-const WAYS: Readonly<Record<string, Way>> = { 'few by rank': shareByRank, 'equal parts saved up': shareEqually }
+const SHARING_POLICIES: Readonly<Record<string, SharingPolicy>> = { 'few by rank': shareByRank, 'equal parts saved up': shareEqually }
 
 type View = (members: readonly Member[], self: Member, random: Random) => readonly Member[]
 
@@ -69,7 +69,7 @@
 const createMember = (index: number): Member =>
   ({ nodeId: `node-${index}`, incarnation: 1, address: { host: `node-${index}`, port: 1 }, availabilityZone: 'zone', state: 'live', generation: 1 })
 
-const countMost = (sends: readonly number[]): number => {
+const countMaximumPerSecond = (sends: readonly number[]): number => {
   let most = 0
   let first = 0
   for (const [index, at] of sends.entries()) {
@@ -79,24 +79,24 @@
   return most
 }
 
-const play = (size: number, way: Way, view: View, seed: number): readonly Cell[] => {
+const simulate = (size: number, policy: SharingPolicy, view: View, seed: number): readonly Cell[] => {
   const random = createSeededRandom(seed).next
   const members = Array.from({ length: size }, (_, index) => createMember(index))
-  const nodes = members.map((self) => ({ maySend: way(self, view(members, self, random)), frozenUntil: 0 }))
+  const nodes = members.map((self) => ({ maySend: policy(self, view(members, self, random)), frozenUntil: 0 }))
   const sends: number[] = []
   for (let now = 0; now < SECONDS * MS_PER_SECOND; now += STEP_MS) {
     for (const node of nodes) {
-      if (random() < FREEZES_PER_STEP) node.frozenUntil = now + LONGEST_FREEZE_MS * random()
+      if (random() < FREEZES_PER_STEP) node.frozenUntil = now + MAXIMUM_FREEZE_MS * random()
       if (now >= node.frozenUntil && node.maySend(now)) sends.push(now)
     }
   }
-  return [countMost(sends), round(sends.length / SECONDS, 1)]
+  return [countMaximumPerSecond(sends), round(sends.length / SECONDS, 1)]
 }
 
 /** Runs the benchmark; returns one table with the highest number of requests in any second and the mean per second, by fleet size and view. */
 export const runWarmUpBench: Bench = async ({ fast, seed }) => [{
   title: `A warming server that may get ${round(BOUND.requestsPerSecond * BOUND.excess + BOUND.slack, 1)} requests in any second and bears ${BOUND.requestsPerSecond}`,
-  columns: ['nodes', 'view', ...Object.keys(WAYS).flatMap((name) => [`${name}: most in a second`, 'mean a second'])],
+  columns: ['nodes', 'view', ...Object.keys(SHARING_POLICIES).flatMap((name) => [`${name}: most in a second`, 'mean a second'])],
   rows: (fast ? FAST_SIZES : SIZES).flatMap((size) => Object.entries(VIEWS).map(([name, view]) =>
-    [size, name, ...Object.values(WAYS).flatMap((way) => play(size, way, view, seed))]))
+    [size, name, ...Object.values(SHARING_POLICIES).flatMap((policy) => simulate(size, policy, view, seed))]))
 }]
