--- a/scripts/bundlePlatform.mjs
+++ b/scripts/bundlePlatform.mjs
@@ -8,7 +8,7 @@
 import { build } from 'esbuild'
 
 /** The flags of deploy/system.toml: V8 accepts a code cache only from a process with the same flags. */
-const ENGINE_FLAGS = ['--max-old-space-size=160']
+const NODE_FLAGS = ['--max-old-space-size=160']
 
 /** Library modules that the daemon does not need, and their replacements; loading each takes some milliseconds of the start on a small VM. */
 const REPLACED_MODULES = [
@@ -45,11 +45,11 @@
   plugins: [replaceModules]
 })
 
-const rehearsal = 'target/rehearsal.mjs'
+const rehearsalFile = 'target/rehearsal.mjs'
 
 await bundleDaemon('platform/boot.ts', 'target/gateway.cjs')
 await bundleDaemon('platform/main.ts', 'target/program.cjs')
-await build({ entryPoints: ['platform/standIn/rehearseDaemon/index.ts'], bundle: true, platform: 'node', target: 'node20', format: 'esm', outfile: rehearsal })
+await build({ entryPoints: ['platform/standIn/rehearseDaemon/index.ts'], bundle: true, platform: 'node', target: 'node20', format: 'esm', outfile: rehearsalFile })
 
-const { rehearseDaemon } = await import(`../${rehearsal}`)
-await rehearseDaemon([...ENGINE_FLAGS, 'scripts/bundle/writeCode.cjs'])
+const { rehearseDaemon } = await import(`../${rehearsalFile}`)
+await rehearseDaemon([...NODE_FLAGS, 'scripts/bundle/writeCode.cjs'])
--- a/scripts/checkUpgrade.mjs
+++ b/scripts/checkUpgrade.mjs
@@ -19,9 +19,9 @@
 
 const builds = { old: resolve(earlierFolder), new: fileURLToPath(new URL('..', import.meta.url)) }
 const results = []
-const check = (name, holds, detail = '') => {
-  results.push(holds)
-  console.log(`${holds ? 'holds' : 'FAILS'}: ${name}${detail === '' ? '' : ` (${detail})`}`)
+const check = (name, hasPassed, detail = '') => {
+  results.push(hasPassed)
+  console.log(`${hasPassed ? 'holds' : 'FAILS'}: ${name}${detail === '' ? '' : ` (${detail})`}`)
 }
 
 try {
@@ -30,6 +30,6 @@
 } finally {
   await endProcesses()
 }
-const failed = results.filter((holds) => !holds).length
+const failed = results.filter((hasPassed) => !hasPassed).length
 console.log(`${results.length - failed} passed, ${failed} failed`)
 process.exit(failed === 0 ? 0 : 1)
--- a/scripts/runTests.mjs
+++ b/scripts/runTests.mjs
@@ -36,15 +36,15 @@
 const failed = tests.filter((test) => test.status === 'failed')
 const passed = tests.filter((test) => test.status === 'passed')
 const unexpected = failed.filter((test) => !isKnownRed(test))
-const mended = passed.filter(isKnownRed)
+const passingKnownRed = passed.filter(isKnownRed)
 const brokenFiles = report.testResults.filter((file) => file.status === 'failed' && file.assertionResults.every((test) => test.status !== 'failed'))
 
 for (const test of failed.filter(isKnownRed)) console.log(`known red: ${test.fullName}`)
 for (const test of unexpected) console.log(`failed: ${test.fullName}`)
-for (const test of mended) console.log(`listed as known red, but passes: ${test.fullName}`)
+for (const test of passingKnownRed) console.log(`listed as known red, but passes: ${test.fullName}`)
 for (const file of brokenFiles) console.log(`did not run: ${file.name}: ${file.message}`)
 if (knownRed.length > MAXIMUM_KNOWN_RED) console.log(`KNOWN-RED.txt lists more than ${MAXIMUM_KNOWN_RED} tests`)
 
-const isRed = unexpected.length > 0 || mended.length > 0 || brokenFiles.length > 0 || passed.length === 0 || knownRed.length > MAXIMUM_KNOWN_RED
+const hasFailed = unexpected.length > 0 || passingKnownRed.length > 0 || brokenFiles.length > 0 || passed.length === 0 || knownRed.length > MAXIMUM_KNOWN_RED
 console.log(`${passed.length} passed, ${unexpected.length + brokenFiles.length} failed`)
-process.exit(isRed ? 1 : 0)
+process.exit(hasFailed ? 1 : 0)
--- a/scripts/upgrade/checkGateways.mjs
+++ b/scripts/upgrade/checkGateways.mjs
@@ -59,16 +59,16 @@
 
     for (const [first, second] of [[old1, new2], [new2, old1], [old3, new4], [new4, old3]]) {
       const label = `${gateways.indexOf(first) + 1}-${gateways.indexOf(second) + 1}`
-      const ask = (gateway, prompt, own) => callGateway(gateway.callerAddress, { path: '/chat/1', body: 'hello', headers: promptHeaders(`${label}${prompt}`, own) })
+      const sendPrompt = (gateway, prompt, ownPart) => callGateway(gateway.callerAddress, { path: '/chat/1', body: 'hello', headers: promptHeaders(`${label}${prompt}`, ownPart) })
       const ids = Array.from({ length: PROMPTS }, (_, index) => `p${index}`)
-      const before = []
-      for (const id of ids) before.push(await ask(first, id, 'first'))
+      const firstAnswers = []
+      for (const id of ids) firstAnswers.push(await sendPrompt(first, id, 'first'))
       // A gateway announces to its peers, in batches, which server received which prompt.
       await new Promise((resolve) => { setTimeout(resolve, 1_000) })
       let returned = 0
       for (const [index, id] of ids.entries()) {
-        const again = await ask(second, id, 'second')
-        if (again.status === 200 && readServer(again) !== undefined && readServer(again) === readServer(before[index])) returned += 1
+        const secondAnswer = await sendPrompt(second, id, 'second')
+        if (secondAnswer.status === 200 && readServer(secondAnswer) !== undefined && readServer(secondAnswer) === readServer(firstAnswers[index])) returned += 1
       }
       check(`prompts first sent through gateway ${label.replace('-', ' return through ')} to the engine that caches them`, returned === PROMPTS, `${returned} of ${PROMPTS}`)
     }
@@ -114,9 +114,9 @@
     ['explain', String(requestId), written], ['logs', 'summary', written], ['logs', 'summary', '--period', '5', recorded],
     ...['dc7d1cc34f07feb9', 'ffeab552148cd4c2', '79a0491bc7f99364'].map((id) => ['explain', id, recorded])
   ]
-  for (const words of commands) {
-    const outputs = [await runCommand(builds.old, words), await runCommand(builds.new, words)]
-    check(`both builds print the same for ${words.slice(0, 2).join(' ')} of ${words.at(-1) === written ? 'a log of the old build' : 'the recorded day'}`, outputs[0].code === 0 && outputs[0].output === outputs[1].output, `codes ${outputs.map(({ code }) => code).join(', ')}`)
+  for (const commandArguments of commands) {
+    const outputs = [await runCommand(builds.old, commandArguments), await runCommand(builds.new, commandArguments)]
+    check(`both builds print the same for ${commandArguments.slice(0, 2).join(' ')} of ${commandArguments.at(-1) === written ? 'a log of the old build' : 'the recorded day'}`, outputs[0].code === 0 && outputs[0].output === outputs[1].output, `codes ${outputs.map(({ code }) => code).join(', ')}`)
   }
   rmSync(folder, { recursive: true })
 }
--- a/scripts/upgrade/checkRouters.mjs
+++ b/scripts/upgrade/checkRouters.mjs
@@ -46,7 +46,7 @@
   return await response.json()
 }
 
-const pause = (ms) => new Promise((resolve) => { setTimeout(resolve, ms) })
+const wait = (ms) => new Promise((resolve) => { setTimeout(resolve, ms) })
 
 /** Time for the directory entry of a chat to reach a peer: it is sent after the answer, without waiting for a reply. */
 const DIRECTORY_DELAY_MS = 500
@@ -56,12 +56,12 @@
   const chats = Array.from({ length: CHATS }, (_, index) => `${label}-${index}`)
   const turns = []
   for (const chat of chats) turns.push(await sendTurn(first, chat, 1, { 'x-chat-id': chat }))
-  await pause(DIRECTORY_DELAY_MS)
+  await wait(DIRECTORY_DELAY_MS)
   let returned = 0
   for (const [index, chat] of chats.entries()) {
-    const one = turns[index]
-    const two = await sendTurn(second, chat, 2, { 'x-chat-id': chat, ...(withHint ? { 'x-chat-hint': one.hint } : {}) })
-    if (one.status === 200 && two.status === 200 && one.server === two.server) returned += 1
+    const firstTurn = turns[index]
+    const secondTurn = await sendTurn(second, chat, 2, { 'x-chat-id': chat, ...(withHint ? { 'x-chat-hint': firstTurn.hint } : {}) })
+    if (firstTurn.status === 200 && secondTurn.status === 200 && firstTurn.server === secondTurn.server) returned += 1
   }
   return returned
 }
@@ -84,20 +84,20 @@
     started.push(router)
     return { ...router, name: `${build}-${index}` }
   }
-  const operate = async (build, words, routers) =>
-    await runCommand(builds[build], [...words, '--platform', url, ...(words[0] === 'drain' || words[1] === 'apply' ? ['--as', 'upgrade'] : []), ...routers.flatMap(({ ready }) => ['--router', ready.operator])], SECRETS)
-  const isSettled = (routers, generation) => waitUntil(async () => {
+  const runOperatorCommand = async (build, commandArguments, routers) =>
+    await runCommand(builds[build], [...commandArguments, '--platform', url, ...(commandArguments[0] === 'drain' || commandArguments[1] === 'apply' ? ['--as', 'upgrade'] : []), ...routers.flatMap(({ ready }) => ['--router', ready.operator])], SECRETS)
+  const waitUntilSettled = (routers, generation) => waitUntil(async () => {
     const statuses = await Promise.all(routers.map(readStatus))
     return statuses.every((status) => status.ready && status.generation === generation && status.members.filter(({ state }) => state === 'live').length === routers.length)
   })
 
   const sheet = join(folder, 'sheet.csv')
   writeSheet(sheet, { engines, service, weight: 1 })
-  const applied = await operate('old', ['sheet', 'apply', sheet], [])
+  const applied = await runOperatorCommand('old', ['sheet', 'apply', sheet], [])
   check('the old command line applies a sheet', applied.code === 0, applied.output.split('\n')[0])
   const routers = [await startRouter('old', 1), await startRouter('new', 2), await startRouter('old', 3), await startRouter('new', 4)]
   const [old1, new2, old3, new4] = routers
-  check('two routers of each build see each other as live, with generation 1', await isSettled(routers, 1))
+  check('four routers, two of each build, see each other as live, with generation 1', await waitUntilSettled(routers, 1))
 
   for (const [first, second] of [[old1, new2], [new2, old1], [old3, new4], [new4, old3]]) {
     for (const withHint of [false, true]) {
@@ -108,38 +108,38 @@
   for (const [first, second] of [[old1, new2], [new4, old3]]) {
     const key = `order-${first.name}`
     const order = await sendOrder(first, key)
-    const again = await sendOrder(second, key)
-    check(`a duplicate of an order sent to ${first.name} gets the stored answer from ${second.name}`, order.status < 300 && !order.isReplay && again.isReplay && again.body === order.body, `${order.status}, ${again.status}`)
+    const duplicate = await sendOrder(second, key)
+    check(`a duplicate of an order sent to ${first.name} gets the stored answer from ${second.name}`, order.status < 300 && !order.isReplay && duplicate.isReplay && duplicate.body === order.body, `${order.status}, ${duplicate.status}`)
   }
-  const loads = await waitUntil(async () => {
-    const tokens = (await Promise.all(routers.map(readStatus))).map(({ accountUsage }) => accountUsage.length)
-    return tokens.every((count) => count > 0)
+  const hasUsage = await waitUntil(async () => {
+    const counts = (await Promise.all(routers.map(readStatus))).map(({ accountUsage }) => accountUsage.length)
+    return counts.every((count) => count > 0)
   })
-  check('the usage of accounts reaches all routers', loads)
+  check('the usage of accounts reaches all routers', hasUsage)
 
   writeSheet(sheet, { engines, service, weight: 2 })
-  const changed = await operate('new', ['sheet', 'apply', sheet, '--wait', '15'], routers)
+  const changed = await runOperatorCommand('new', ['sheet', 'apply', sheet, '--wait', '15'], routers)
   check('a sheet that the new command line applies is in force at all routers', changed.code === 0, changed.output.trim().split('\n').at(-1))
-  const drained = await operate('old', ['drain', 'engine-1', '--wait', '15'], routers)
+  const drained = await runOperatorCommand('old', ['drain', 'engine-1', '--wait', '15'], routers)
   check('a drain that the old command line starts completes at all routers', drained.code === 0, drained.output.trim().split('\n').at(-1))
-  const ended = await operate('new', ['drain', 'engine-1', '--cancel'], routers)
+  const ended = await runOperatorCommand('new', ['drain', 'engine-1', '--cancel'], routers)
   check('the new command line cancels the drain', ended.code === 0, ended.output.trim().split('\n').at(-1))
-  check('all routers have generation 4', await isSettled(routers, 4))
-  for (const words of [['sheet', 'status'], ['sheet', 'history'], ['sheet', 'show'], ['audit']]) {
-    const outputs = [await operate('old', words, words[1] === 'status' ? routers : []), await operate('new', words, words[1] === 'status' ? routers : [])]
-    check(`both command lines print the same for ${words.join(' ')}`, outputs[0].code === 0 && outputs[0].output === outputs[1].output, `codes ${outputs.map(({ code }) => code).join(', ')}`)
+  check('all routers have generation 4', await waitUntilSettled(routers, 4))
+  for (const commandArguments of [['sheet', 'status'], ['sheet', 'history'], ['sheet', 'show'], ['audit']]) {
+    const outputs = [await runOperatorCommand('old', commandArguments, commandArguments[1] === 'status' ? routers : []), await runOperatorCommand('new', commandArguments, commandArguments[1] === 'status' ? routers : [])]
+    check(`both command lines print the same for ${commandArguments.join(' ')}`, outputs[0].code === 0 && outputs[0].output === outputs[1].output, `codes ${outputs.map(({ code }) => code).join(', ')}`)
   }
   const unreadable = routers.flatMap(({ lines }) => lines).filter((line) => UNREADABLE.test(line))
   check('no router logs a message that it could not decode', unreadable.length === 0, unreadable[0])
 
   for (const router of routers) await router.end()
   started.length = 0
-  const alone = [await startRouter('new', 5), await startRouter('new', 6)]
-  check('new routers alone load the sheet that the fleet stored', await isSettled(alone, 4))
-  const replays = [await sendOrder(alone[0], 'order-old-1'), await sendOrder(alone[1], 'order-new-4')]
+  const newRouters = [await startRouter('new', 5), await startRouter('new', 6)]
+  check('new routers alone load the sheet that the fleet stored', await waitUntilSettled(newRouters, 4))
+  const replays = [await sendOrder(newRouters[0], 'order-old-1'), await sendOrder(newRouters[1], 'order-new-4')]
   check('new routers return the stored answers for orders that were sent before', replays.every(({ isReplay, status }) => isReplay && status < 300), replays.map(({ status }) => status).join(', '))
-  const fresh = await sendOrder(alone[0], 'order-after')
-  check('new routers execute a new order', fresh.status < 300 && !fresh.isReplay, String(fresh.status))
-  check('new routers log no message that they could not decode', alone.every(({ lines }) => !lines.some((line) => UNREADABLE.test(line))))
+  const newOrder = await sendOrder(newRouters[0], 'order-after')
+  check('new routers execute a new order', newOrder.status < 300 && !newOrder.isReplay, String(newOrder.status))
+  check('new routers log no message that they could not decode', newRouters.every(({ lines }) => !lines.some((line) => UNREADABLE.test(line))))
   rmSync(folder, { recursive: true })
 }
--- a/scripts/upgrade/processes.mjs
+++ b/scripts/upgrade/processes.mjs
@@ -6,21 +6,21 @@
 
 const running = new Set()
 
-const spawnCommand = (folder, words, environment) => {
-  const child = spawn(process.execPath, [join(folder, 'dist/cli/main.js'), ...words], { env: { ...process.env, ...environment }, stdio: ['ignore', 'pipe', 'pipe'] })
+const spawnCommand = (folder, commandArguments, environment) => {
+  const child = spawn(process.execPath, [join(folder, 'dist/cli/main.js'), ...commandArguments], { env: { ...process.env, ...environment }, stdio: ['ignore', 'pipe', 'pipe'] })
   running.add(child)
   child.on('exit', () => running.delete(child))
   return child
 }
 
 /** Starts a daemon; resolves with the JSON line that has its addresses (`ready`), its log lines, and a function `end` that kills it. */
-export const startDaemon = async (folder, words, environment = {}) => {
-  const child = spawnCommand(folder, words, environment)
+export const startDaemon = async (folder, commandArguments, environment = {}) => {
+  const child = spawnCommand(folder, commandArguments, environment)
   const lines = []
   createInterface({ input: child.stderr }).on('line', (line) => lines.push(line))
   const ready = await new Promise((resolve, reject) => {
     createInterface({ input: child.stdout }).on('line', (line) => { line.includes('"listening"') || line.includes('"caller"') ? resolve(JSON.parse(line)) : lines.push(line) })
-    child.on('exit', (code) => reject(new Error(`${words.join(' ')} ended with ${code}: ${lines.join('\n')}`)))
+    child.on('exit', (code) => reject(new Error(`${commandArguments.join(' ')} ended with ${code}: ${lines.join('\n')}`)))
   })
   const end = async (signal = 'SIGKILL') => {
     if (child.exitCode !== null || child.signalCode !== null) return
@@ -31,8 +31,8 @@
 }
 
 /** Runs a command until it exits. */
-export const runCommand = async (folder, words, environment = {}) => {
-  const child = spawnCommand(folder, words, environment)
+export const runCommand = async (folder, commandArguments, environment = {}) => {
+  const child = spawnCommand(folder, commandArguments, environment)
   let output = ''
   child.stdout.on('data', (bytes) => { output += bytes })
   child.stderr.on('data', (bytes) => { output += bytes })
@@ -51,10 +51,10 @@
 const MAXIMUM_WAIT_MS = 30_000
 
 /** Polls until the condition holds; resolves to false if it does not within 30 s. */
-export const waitUntil = async (holds) => {
+export const waitUntil = async (condition) => {
   const deadline = Date.now() + MAXIMUM_WAIT_MS
   while (Date.now() < deadline) {
-    if (await holds()) return true
+    if (await condition()) return true
     await new Promise((resolve) => { setTimeout(resolve, POLL_INTERVAL_MS) })
   }
   return false
