--- a/src/bench/_lib/startBenchEnvironment.ts
+++ b/src/bench/_lib/startBenchEnvironment.ts
@@ -46,7 +46,7 @@
  * @returns The addresses of the processes, the keys of the client accounts, and a function that stops them all.
  *
  * @example
- * const rig = await startRig({ routers: 1, engines: 3, services: 0, accounts: 1, slots: 16, engineFlags: [] })
+ * const environment = await startBenchEnvironment({ routers: 1, engines: 3, services: 0, accounts: 1, slots: 16, engineFlags: [] })
  */
 export const startBenchEnvironment = async (options: BenchEnvironmentOptions): Promise<BenchEnvironment> => {
   const started: RunningProcess[] = []
--- a/src/bench/crowd/_lib/simulateBurst.ts
+++ b/src/bench/crowd/_lib/simulateBurst.ts
@@ -128,7 +128,7 @@
  * @returns The number of requests, and those that reached an engine over the limit.
  *
  * @example
- * (await playCrowd(options)).worstShare // => 0.01
+ * (await simulateBurst(options)).worstShare // => 0.01
  */
 export const simulateBurst = async (options: BurstOptions): Promise<BurstOutcome> => {
   const random = createSeededRandom(options.seed).next
--- a/src/bench/fairness/index.ts
+++ b/src/bench/fairness/index.ts
@@ -1,7 +1,7 @@
 /**
- * Measures how the other accounts are affected when two accounts send ten times
- * as many requests. Compares the real admission at three routers, the same without
- * exchange between the routers, and first come first served.
+ * Measures how the calm accounts, whose rate is constant, are affected when two others
+ * send ten times as many requests. Compares the real admission at three routers, the
+ * same without exchange between the routers, and first come first served.
  */
 import { createSeededRandom } from '../../adapters/seededRandom/index.js'
 import type { RandomSource } from '../../types/index.js'
--- a/src/bench/routerCost/_lib/measureChat.ts
+++ b/src/bench/routerCost/_lib/measureChat.ts
@@ -26,7 +26,7 @@
  * @returns The times in milliseconds. Throws when the answer is incomplete, because the times of failed requests would distort the results.
  *
  * @example
- * await askChat(agent, target, { stream: true, maximumTokens: 32 }, 'question 1')
+ * await measureChat(agent, target, { stream: true, maximumTokens: 32 }, 'question 1')
  */
 export const measureChat = async (dispatcher: Dispatcher, target: ChatTarget, shape: ChatShape, question: string): Promise<ChatTimes> => {
   const startedAt = performance.now()
