--- a/src/adapters/backendHttp/_lib/createExchange.ts
+++ b/src/adapters/backendHttp/_lib/createExchange.ts
@@ -30,8 +30,8 @@
 }
 
 /**
- * Returns whether a truncated body can be told from a complete one. A body that
- * is ended only by the close of its connection looks the same when the server
+ * Returns whether a truncated body differs from a complete one. A body that is
+ * ended only by the close of its connection looks the same when the server
  * has crashed, so this takes a declared length or chunks.
  */
 const hasVerifiableEnd = (method: string, status: number, headers: Headers): boolean =>
--- a/src/adapters/backendHttp/test.ts
+++ b/src/adapters/backendHttp/test.ts
@@ -92,7 +92,7 @@
   /*
    * Guards against running a request twice. It is sent on a keep-alive connection
    * that the server is closing, and the socket reports an error although the
-   * server has read it. The caller is told that it did not run, and sends it again.
+   * server has read it. The caller would be informed that it did not run, and send it again.
    */
   it('never reports a request as not sent that the backend server has read', async () => {
     const closeAfter: RawStep = (socket, request) => {
--- a/src/adapters/platformHttp/index.ts
+++ b/src/adapters/platformHttp/index.ts
@@ -34,8 +34,8 @@
 /**
  * Creates a client of the platform's object API.
  *
- * A call is never retried here: after a lost reply only the caller can tell,
- * by reading back, whether its write took effect. A write that was not sent,
+ * A call is never retried here: after a lost reply only the caller can
+ * determine, by reading back, whether its write took effect. A write that was not sent,
  * or that the platform refused with 503, is `unavailable`; a write that was
  * sent and has no reply is `outcomeUnknown`; a read is `unavailable` in both cases.
  *
@@ -123,7 +123,7 @@
 const toReadError = (reply: Reply): PlatformError =>
   STATUS_ERRORS[reply.status]?.(describeStatus(reply)) ?? { kind: 'unavailable', message: describeStatus(reply) }
 
-// A status outside of the contract (such as 502 from a proxy) doesn't tell
+// A status outside of the contract (such as 502 from a proxy) doesn't show
 // whether the write took effect.
 const toWriteError = (reply: Reply): PlatformError =>
   STATUS_ERRORS[reply.status]?.(describeStatus(reply)) ?? outcomeUnknown(describeStatus(reply))
--- a/src/decisions/editPlannedStop/index.ts
+++ b/src/decisions/editPlannedStop/index.ts
@@ -33,7 +33,7 @@
   return handlers[edit.kind](sheet, edit as never)
 }
 
-/** Tells from its name whether a planned stop was created by a drain rather than by the planners' sheet. */
+/** Returns, by its name, whether a planned stop was created by a drain rather than by the planners' sheet. */
 export const isDrainName = (name: string): boolean => name.startsWith(NAME_PREFIX)
 
 const formatDrainName = (backendServer: string): string => `${NAME_PREFIX}${backendServer}`
--- a/src/decisions/evaluateRollout/index.ts
+++ b/src/decisions/evaluateRollout/index.ts
@@ -106,7 +106,7 @@
   return [{ node: answer.url, availabilityZone: '', state: 'unconfirmed', detail }]
 })
 
-/** Merges member views into the latest: the highest incarnation, then the highest generation, then the most alive state. */
+/** Merges member views into the latest: the highest incarnation, then the highest generation, then the state closest to live. */
 const mergeMembers = (reports: readonly RouterReport[]): readonly Member[] => {
   const latest = new Map<string, Member>()
   for (const member of reports.flatMap(({ members }) => members)) {
--- a/src/decisions/explainRequest/index.ts
+++ b/src/decisions/explainRequest/index.ts
@@ -20,7 +20,7 @@
 
 const isStateChange = ({ fields }: LogRecord): boolean => fields.requestId === undefined
 
-/** Tells whether a state change affects the request: it concerns one of its backend servers, or no particular server. */
+/** Returns whether a state change affects the request: it concerns one of its backend servers, or no particular server. */
 const isRelevant = (stateChange: LogRecord, servers: ReadonlySet<unknown>): boolean => {
   const server = stateChange.fields.backendServer
   return server === undefined || servers.has(server)
--- a/src/decisions/grantRetry/index.ts
+++ b/src/decisions/grantRetry/index.ts
@@ -3,7 +3,7 @@
  * which protects a failing service from a burst of retries. Over a sliding window
  * the retries of the fleet stay under a ratio of its requests plus a constant.
  * Each node may use the ratio of its own requests and an equal share of the
- * constant. So no node has to ask another before a retry, and none uses the share
+ * constant. So no node has to query another before a retry, and none uses the share
  * of a node that does not respond but may still be running.
  */
 import { trimTimes } from '../_lib/trimTimes.js'
--- a/src/decisions/mergeLoadDigest/index.ts
+++ b/src/decisions/mergeLoadDigest/index.ts
@@ -15,8 +15,8 @@
  * Merges a digest into the record of its source.
  *
  * A lost digest shows as a gap in the sequence numbers. The digest after the
- * gap is still applied, as its counts are the latest, and `hasGap` tells the
- * caller to request a full digest. A late or duplicate digest is ignored:
+ * gap is still applied, as its counts are the latest, and with `hasGap` the
+ * caller requests a full digest. A late or duplicate digest is ignored:
  * applying it would restore counts that have been replaced.
  *
  * @param known - The current record; `undefined` when the source is new.
--- a/src/decisions/recordSend/index.ts
+++ b/src/decisions/recordSend/index.ts
@@ -11,7 +11,7 @@
  * @returns The budget with the send added and the sends before the window removed.
  *
  * @example
- * recordSend({ requests: [], repeats: [] }, 'repeat', { ratio: 0.2, extra: 50, windowMs: 10_000 }, 5).repeats // => [5]
+ * recordSend({ requests: [], retries: [] }, 'repeat', { ratio: 0.2, extra: 50, windowMs: 10_000 }, 5).retries // => [5]
  */
 export const recordSend = (budget: RetryWindow, kind: 'first' | 'repeat', limits: RetryWindowLimits, now: number): RetryWindow => {
   const windowStart = now - limits.windowMs
--- a/src/services/claims/_lib/createOpenClaims.ts
+++ b/src/services/claims/_lib/createOpenClaims.ts
@@ -1,8 +1,8 @@
 /**
  * Holds the keys that this node is claiming or has in flight, the duplicate requests that
- * wait for their answers, and the outcomes of the latest keys that it sent. The outcomes
- * keep answers correct in an outage: a duplicate of a request that was sent from here must
- * not be refused as not run only because the log cannot be read.
+ * wait for their answers, and the outcomes of the latest requests that it sent. The
+ * outcomes keep answers correct in an outage: a duplicate of a request that this node sent
+ * must not be refused as not run only because the log cannot be read.
  */
 import { LRUCache } from 'lru-cache'
 import type { StoredAnswer } from '../../../types/index.js'
@@ -11,7 +11,7 @@
   | { readonly kind: 'completed', readonly answer: StoredAnswer }
   /** Not sent; the key is free again. */
   | { readonly kind: 'released' }
-  /** Sent; this node will not learn the outcome. */
+  /** Sent; the outcome stays unknown on this node. */
   | { readonly kind: 'unknown' }
 
 export type OpenClaim = {
@@ -33,7 +33,7 @@
   readonly find: (keyId: string) => OpenClaim | undefined
   /** Ends the claim if it is still the open one of its key. */
   readonly end: (keyId: string, claimId: string, end: OpenClaimEnd) => void
-  /** Returns the outcome of a key that was sent from this node, while it is kept. */
+  /** Returns the outcome of a request with this key that this node sent, while it is kept. */
   readonly findEnded: (keyId: string) => EndedClaim | undefined
 }
 
--- a/src/services/claims/_lib/createShardState.ts
+++ b/src/services/claims/_lib/createShardState.ts
@@ -6,7 +6,7 @@
 import type { ClaimBatch, ClaimChanges, ClaimRecord } from '../../../decisions/foldClaims/index.js'
 import type { ClaimSnapshot } from './codecs.js'
 
-/** Total size of the answers kept for one shard; beyond it the oldest are dropped, and their duplicates learn only that the request ran. */
+/** Total size of the answers kept for one shard; beyond it the oldest are dropped, and the answer to a duplicate request states only that the request ran. */
 const MAXIMUM_ANSWER_BYTES = 2_000_000
 
 export type ShardState = {
--- a/src/services/configuration/index.ts
+++ b/src/services/configuration/index.ts
@@ -105,7 +105,7 @@
     for (const listener of listeners) listener(configuration)
   }
 
-  /** Queries peers that have a higher generation, until this node has the highest generation that it knows of. */
+  /** Queries peers that have a higher generation, until this node has the highest known generation. */
   const installFromPeers = async (): Promise<readonly string[]> => {
     const found: string[] = []
     for (const peer of selectPeers(listOtherMembers(), installer.generation() + 1, settings, random)) {
--- a/src/services/dispatch/_lib/createReachabilityProbes.ts
+++ b/src/services/dispatch/_lib/createReachabilityProbes.ts
@@ -1,7 +1,7 @@
 /**
  * Probes backend servers that have not answered a request yet. The load probes
  * don't cover this: a router probes only the servers of its own zone. At most
- * one probe a server is open and three a second are started, however many
+ * one probe per server is open and three per second are started, however many
  * requests wait, to stay within the budget for control traffic.
  */
 import type { BackendClient, BackendServer, Clock } from '../../../types/index.js'
--- a/src/services/forwarding/_lib/createAttemptReporter.ts
+++ b/src/services/forwarding/_lib/createAttemptReporter.ts
@@ -1,4 +1,4 @@
-/** Reports what the attempts of one request show of backend servers: that one responds, how fast it is, that it does not respond. */
+/** Reports what the attempts of one request show about backend servers: whether each responds, how fast it is, and its load. */
 import { formatInstanceKey } from '../../../decisions/formatInstanceKey/index.js'
 import type { GatewayRequest, GatewayRoute, InstanceAnswer } from '../../../types/index.js'
 import type { SendAttempt } from './createSendAttempt.js'
--- a/src/services/forwarding/_lib/createShutdownGate.ts
+++ b/src/services/forwarding/_lib/createShutdownGate.ts
@@ -22,7 +22,7 @@
 export const createShutdownGate = ({ clock, tokenPace, streamDurations }: ShutdownGateDependencies): ShutdownGate => {
   let shutdown: { readonly beganAt: number, readonly endsAt: number } | undefined
 
-  /** Milliseconds a token of the slowest service to which the route may send. */
+  /** Milliseconds per token at the slowest service to which the route may send. */
   const readTokenMs = (route: GatewayRoute): number =>
     Math.max(...route.targets.map(({ service }) => tokenPace.read(service) ?? DEFAULT_TOKEN_INTERVAL_MS))
 
--- a/src/services/forwarding/_lib/createTokenPace.test.ts
+++ b/src/services/forwarding/_lib/createTokenPace.test.ts
@@ -34,7 +34,7 @@
     expect(pace.read('engines')).toBeCloseTo(4)
   })
 
-  // A node that overestimates the time a token would refuse streams that end within the grace period.
+  // A node that overestimates the time per token would refuse streams that end within the grace period.
   test.each([
     ['accepted on engines three times faster', 3.5 / 3, true],
     ['accepted on engines that are fast enough', 3.5, true],
--- a/src/services/forwarding/_lib/createTokenPace.ts
+++ b/src/services/forwarding/_lib/createTokenPace.ts
@@ -1,9 +1,9 @@
-/** Tracks the recent time a token of each service's streams, to estimate how long a new stream will take. */
+/** Tracks the recent time per token in each service's streams, to estimate how long a new stream will take. */
 
 export type TokenPace = {
   /** Records a successful stream: its maximum number of tokens, and the milliseconds from its first bytes to its end. */
   readonly record: (service: string, tokens: number, milliseconds: number) => void
-  /** Milliseconds a token, estimated on the high side; `undefined` before the first stream. */
+  /** Milliseconds per token, estimated on the high side; `undefined` before the first stream. */
   readonly read: (service: string) => number | undefined
 }
 
--- a/src/services/forwarding/_lib/selectInstance.ts
+++ b/src/services/forwarding/_lib/selectInstance.ts
@@ -1,4 +1,4 @@
-/** Selects the backend server for the next attempt of a request: gathers the state of the node and calls `placeRequest`. */
+/** Selects the backend server for the next attempt of a request: gathers the state of the node and calls `selectPlacement`. */
 import { computeLoadBound, defaultPlacementWeights, selectPlacement } from '../../../decisions/selectPlacement/index.js'
 import type { InstanceCandidate, PlacementWeights, PromptCopySource } from '../../../decisions/selectPlacement/index.js'
 import { checkInstanceEligibility } from '../../../decisions/checkInstanceEligibility/index.js'
--- a/src/services/forwarding/index.ts
+++ b/src/services/forwarding/index.ts
@@ -111,7 +111,7 @@
 
   const isUpToDate = (): boolean => configuration.confirmedAgeMs() <= options.readBounds().configurationFreshnessMs
 
-  /** A node whose configuration may be stale can't tell that something does not exist. */
+  /** A node whose configuration may be stale can't conclude that something does not exist. */
   const refuseUnknown = (refusal: GatewayRefusal): GatewayRefusal =>
     isUpToDate() ? refusal : { status: 503, reason: 'noConfiguration', retryAfterMs: MISSING_STATE_RETRY_AFTER_MS }
 
--- a/src/services/instanceHealth/index.ts
+++ b/src/services/instanceHealth/index.ts
@@ -1,6 +1,6 @@
 /**
  * Tracks the health of each backend server as seen in this node's own exchanges: its
- * condition, and how long it has sent nothing while requests wait there.
+ * health state, and how long it has sent nothing while requests wait there.
  */
 import { advanceInstanceHealth, initialInstanceHealth } from '../../decisions/advanceInstanceHealth/index.js'
 import { formatInstanceKey } from '../../decisions/formatInstanceKey/index.js'
--- a/src/services/instanceRegistry/index.ts
+++ b/src/services/instanceRegistry/index.ts
@@ -34,7 +34,7 @@
   readonly listChangesSince: (position: ChangePosition | undefined, revision: number) => InstanceUpdate
   readonly position: () => ChangePosition
   readonly isSourceReachable: () => boolean
-  /** Called when the source cannot be read. */
+  /** Registers a listener that is called when the source cannot be read. */
   readonly onNeed: (listener: () => void) => void
 }
 
@@ -220,7 +220,7 @@
     listChangesSince: (position, knownRevision) => {
       const names = changes.listSince(position)
       const isWhole = names === undefined && knownRevision < revision
-      // A server whose entry is missing stays in the list for a moment; peers must not learn of it as present.
+      // A server whose entry is missing stays in the list for a moment; it must not be reported to peers as present.
       const changed = [...instances.values()].filter(({ id }) => isWhole || (names?.has(id) === true && !missingSince.has(id)))
       const removed = [...names ?? []].filter((name) => !instances.has(name))
       return { isWhole, instances: changed.map(toPeerEntry), removed, position: changes.position() }
--- a/src/services/warmUpLimiter/test.ts
+++ b/src/services/warmUpLimiter/test.ts
@@ -44,7 +44,7 @@
 const VIEWS: Readonly<Record<string, View>> = {
   'all know all': (members) => members,
   'each lacks a third of the members': (members, self, random) => members.filter((member) => member === self || random() > 1 / 3),
-  'two halves never heard of each other': (members, self) => {
+  'each half of the fleet lacks the other half': (members, self) => {
     const isInFirst = (member: Member): boolean => members.indexOf(member) < members.length / 2
     return members.filter((member) => isInFirst(member) === isInFirst(self))
   }
--- a/src/services/zoneDrains/index.ts
+++ b/src/services/zoneDrains/index.ts
@@ -27,7 +27,7 @@
   readonly applyPeerUpdate: (update: ZoneDrainSnapshot, ageMs?: number) => void
   /** Returns the drains to send to peers; `undefined` before the first reading. */
   readonly readPeerUpdate: () => ZoneDrainSnapshot | undefined
-  /** Called when the source cannot be read. */
+  /** Registers a listener that is called when the source cannot be read. */
   readonly onNeed: (listener: () => void) => void
 }
 
