--- a/src/adapters/instanceHttp/test.ts
+++ b/src/adapters/instanceHttp/test.ts
@@ -65,7 +65,7 @@
     const onConnected = (message: unknown): void => { sockets.push((message as { readonly socket: Socket }).socket) }
     subscribe(CONNECTED, onConnected)
     closing.push(() => { unsubscribe(CONNECTED, onConnected) })
-    const port = await startSilentServer(() => sockets[0]?.destroy(Object.assign(new Error('no route to the server'), { code })))
+    const port = await startSilentServer(() => sockets[0]?.destroy(Object.assign(new Error('the route to the server is lost'), { code })))
     expect((await sendAndFail(createClient(), port)).kind).toBe('broken')
   })
 
