--- a/src/adapters/callerHttp/test.ts
+++ b/src/adapters/callerHttp/test.ts
@@ -190,11 +190,11 @@
   it('waits for a request in flight before it closes', async () => {
     let finish: (answer: CallerAnswer) => void = () => {}
     const { url, callerHttp, handled } = await startListener(() => new Promise((resolve) => { finish = resolve }))
-    const asked = fetch(url)
+    const pending = fetch(url)
     await expect.poll(() => handled.length).toBe(1)
     const closed = callerHttp.close()
     finish(OK)
-    expect(await (await asked).text()).toBe('ok')
+    expect(await (await pending).text()).toBe('ok')
     await closed
   })
 })
--- a/src/adapters/gatewayHttp/_lib/createResponseWriter.ts
+++ b/src/adapters/gatewayHttp/_lib/createResponseWriter.ts
@@ -44,7 +44,7 @@
       response.req.resume()
       setTimeout(() => socket.destroy(), LINGERING_CLOSE_MS).unref()
     },
-    whole: (answer: InstanceAnswer, body) => {
+    complete: (answer: InstanceAnswer, body) => {
       writeHead(answer.status, [...flatten(answer.headers), 'Content-Length', String(body.length)])
       response.end(body)
     },
--- a/src/decisions/grantRetry/test.ts
+++ b/src/decisions/grantRetry/test.ts
@@ -11,13 +11,13 @@
   test('grants a retry when nothing has been sent', () => expect(grantRetry(empty, limits, 5, 0)).toBe(true))
 
   test('divides the constant equally among the nodes', () => {
-    const spent = Array.from({ length: 8 }).reduce<RetryWindow>((budget) => recordSend(budget, 'repeat', limits, 0), empty)
+    const spent = Array.from({ length: 8 }).reduce<RetryWindow>((budget) => recordSend(budget, 'retry', limits, 0), empty)
     expect(grantRetry(spent, limits, 1, 0)).toBe(true)
     expect(grantRetry(spent, limits, 6, 0)).toBe(false)
   })
 
   test('ignores what was sent before the window', () => {
-    const spent = Array.from({ length: 50 }).reduce<RetryWindow>((budget) => recordSend(budget, 'repeat', limits, 0), empty)
+    const spent = Array.from({ length: 50 }).reduce<RetryWindow>((budget) => recordSend(budget, 'retry', limits, 0), empty)
     expect(grantRetry(spent, limits, 1, 9_999)).toBe(false)
     expect(grantRetry(spent, limits, 1, 10_001)).toBe(true)
   })
@@ -36,7 +36,7 @@
         requests.push(now)
         for (let wanted = 0; wanted < wantedRetries; wanted++) {
           if (!grantRetry(budget, limits, 6, now)) break
-          budget = recordSend(budget, 'repeat', limits, now)
+          budget = recordSend(budget, 'retry', limits, now)
           retries.push(now)
         }
         budgets.set(node, budget)
--- a/src/decisions/mergeMember/test.ts
+++ b/src/decisions/mergeMember/test.ts
@@ -28,15 +28,15 @@
   })
 
   it.each([
-    { known: { state: 'live' }, heard: { state: 'suspect' }, state: 'suspect' },
-    { known: { state: 'suspect' }, heard: { state: 'live' }, state: 'suspect' },
-    { known: { state: 'suspect' }, heard: { state: 'live', incarnation: 6 }, state: 'live' },
-    { known: { state: 'leaving' }, heard: { state: 'suspect' }, state: 'leaving' },
-    { known: { state: 'leaving' }, heard: { state: 'dead' }, state: 'dead' },
-    { known: { state: 'dead' }, heard: { state: 'live', incarnation: 6 }, state: 'live' },
-    { known: { state: 'live' }, heard: { state: 'dead', incarnation: 4 }, state: 'live' }
-  ] as const)('merges $known and $heard to $state', ({ known, heard, state }) => {
-    expect(mergeMember(createMember(known), createMember(heard)).state).toBe(state)
+    { known: { state: 'live' }, received: { state: 'suspect' }, state: 'suspect' },
+    { known: { state: 'suspect' }, received: { state: 'live' }, state: 'suspect' },
+    { known: { state: 'suspect' }, received: { state: 'live', incarnation: 6 }, state: 'live' },
+    { known: { state: 'leaving' }, received: { state: 'suspect' }, state: 'leaving' },
+    { known: { state: 'leaving' }, received: { state: 'dead' }, state: 'dead' },
+    { known: { state: 'dead' }, received: { state: 'live', incarnation: 6 }, state: 'live' },
+    { known: { state: 'live' }, received: { state: 'dead', incarnation: 4 }, state: 'live' }
+  ] as const)('merges $known and $received to $state', ({ known, received, state }) => {
+    expect(mergeMember(createMember(known), createMember(received)).state).toBe(state)
   })
 })
 
--- a/src/decisions/recordSend/index.ts
+++ b/src/decisions/recordSend/index.ts
@@ -11,11 +11,11 @@
  * @returns The budget with the send added and the sends before the window removed.
  *
  * @example
- * recordSend({ requests: [], retries: [] }, 'repeat', { ratio: 0.2, extra: 50, windowMs: 10_000 }, 5).retries // => [5]
+ * recordSend({ requests: [], retries: [] }, 'retry', { ratio: 0.2, extra: 50, windowMs: 10_000 }, 5).retries // => [5]
  */
-export const recordSend = (budget: RetryWindow, kind: 'first' | 'repeat', limits: RetryWindowLimits, now: number): RetryWindow => {
+export const recordSend = (budget: RetryWindow, kind: 'first' | 'retry', limits: RetryWindowLimits, now: number): RetryWindow => {
   const windowStart = now - limits.windowMs
   const requests = trimTimes(budget.requests, windowStart)
-  const repeats = trimTimes(budget.retries, windowStart)
-  return kind === 'first' ? { requests: [...requests, now], retries: repeats } : { requests, retries: [...repeats, now] }
+  const retries = trimTimes(budget.retries, windowStart)
+  return kind === 'first' ? { requests: [...requests, now], retries } : { requests, retries: [...retries, now] }
 }
--- a/src/decisions/selectPlacement/index.ts
+++ b/src/decisions/selectPlacement/index.ts
@@ -186,10 +186,10 @@
     const loadCost = weights.tokensPerFullLoad * (candidate.load + 1) / candidate.slots * candidate.slowness
     const transferCost = candidate.availabilityZone === input.availabilityZone ? 0 : remoteTransferCost
     const homeCredit = candidate.id === home?.id ? weights.homeCreditShare * input.sharedTokens : 0
-    const fixedCost = prefixSupply.cost + transferCost - homeCredit
-    return { id: candidate.id, copyFrom: prefixSupply.copyFrom, costWithoutLoad: fixedCost, cost: fixedCost + loadCost }
+    const costWithoutLoad = prefixSupply.cost + transferCost - homeCredit
+    return { id: candidate.id, copyFrom: prefixSupply.copyFrom, costWithoutLoad, cost: costWithoutLoad + loadCost }
   })
-  const drawn = [...groupBy(options, ({ costWithoutLoad: fixedCost }) => fixedCost).values()].map((equalOptions) => drawOption(equalOptions, random))
+  const drawn = [...groupBy(options, ({ costWithoutLoad }) => costWithoutLoad).values()].map((equalOptions) => drawOption(equalOptions, random))
   const { id, copyFrom } = drawn.reduce((one, other) => other.cost < one.cost ? other : one)
   return { id, copyFrom }
 }
--- a/src/node/createGatewayNode/_lib/registerForwarding.ts
+++ b/src/node/createGatewayNode/_lib/registerForwarding.ts
@@ -22,7 +22,7 @@
 })
 
 /** Sources for recovering the cached prefix locations after a start: the configuration says which services run model engines, the registry lists the engines. */
-const createPlacesRecoverySources = ({ settings, random, logger, promptCacheSource }: GatewayNodeDependencies, resolve: Kernel<GatewayServices>['resolve']): DirectoryRecoverySources => {
+const createRecoverySources = ({ settings, random, logger, promptCacheSource }: GatewayNodeDependencies, resolve: Kernel<GatewayServices>['resolve']): DirectoryRecoverySources => {
   const configuration = resolve('gatewayConfiguration')
   const registry = resolve('instanceRegistry')
   const zoneDrains = resolve('zoneDrains')
@@ -30,7 +30,7 @@
     logger,
     random,
     registry: { all: () => registry.all().filter((instance) => !zoneDrains.isDrained(instance.availabilityZone)) },
-    memory: promptCacheSource,
+    promptCacheSource,
     availabilityZone: settings.availabilityZone,
     isEngine: ({ service }) => configuration.current()?.services.get(service)?.isModelService === true,
     areEnginesKnown: () => configuration.current() !== undefined && registry.isKnown(),
@@ -63,7 +63,7 @@
     name: 'promptDirectory',
     dependsOn: ['membership', 'instanceRegistry', 'gatewayConfiguration', 'zoneDrains'],
     create: (resolve) => {
-      const recovery = settings.isFirstStart ? {} : { recovery: createPlacesRecoverySources(dependencies, resolve) }
+      const recovery = settings.isFirstStart ? {} : { recovery: createRecoverySources(dependencies, resolve) }
       return createPromptDirectory({ clock, transport, membership: resolve('membership'), ...recovery })
     }
   })
--- a/src/services/_lib/createSourceFollower.ts
+++ b/src/services/_lib/createSourceFollower.ts
@@ -101,10 +101,10 @@
     let isListed = false
     for (;;) {
       if (isStopped) return
-      const { isRelyingOnReaders: isRelying, recheckAfterMs: lookAfterMs, retryAfterMs } = pace()
-      if (isRelying) {
+      const { isRelyingOnReaders, recheckAfterMs, retryAfterMs } = pace()
+      if (isRelyingOnReaders) {
         isListed = false
-        await wait(lookAfterMs)
+        await wait(recheckAfterMs)
         if (!pace().isRelyingOnReaders) endReliance()
         continue
       }
--- a/src/services/admission/test.ts
+++ b/src/services/admission/test.ts
@@ -44,7 +44,7 @@
     tickets.shift()?.finish(tokens)
     await settle()
   }
-  return { clock, api, pool, admitted, tickets, ask: admit, settle, finishOldest }
+  return { clock, api, pool, admitted, tickets, admit, settle, finishOldest }
 }
 
 const repeat = <Value>(count: number, run: () => Value): readonly Value[] => Array.from({ length: count }, run)
@@ -55,12 +55,12 @@
 
 describe('createAdmission', () => {
   it('admits at once while slots are free', async () => {
-    const { ask: admit } = createPool(2)
+    const { admit } = createPool(2)
     expect(await Promise.all([admit('a'), admit('a')])).toMatchObject([{ ok: true }, { ok: true }])
   })
 
   it('frees the slot of a ticket once, even if it is finished twice', async () => {
-    const { ask: admit, tickets, admitted, settle } = createPool(1)
+    const { admit, tickets, admitted, settle } = createPool(1)
     repeat(3, () => admit('a'))
     await settle()
     const first = tickets[0]!
@@ -71,7 +71,7 @@
   })
 
   it('alternates between waiting accounts although one has far more requests waiting', async () => {
-    const { ask: admit, admitted, settle, finishOldest } = createPool(1)
+    const { admit, admitted, settle, finishOldest } = createPool(1)
     repeat(20, () => admit('surging'))
     repeat(5, () => admit('calm'))
     await settle()
@@ -80,7 +80,7 @@
   })
 
   it('shares tokens, not requests', async () => {
-    const { ask: admit, admitted, settle, finishOldest } = createPool(1)
+    const { admit, admitted, settle, finishOldest } = createPool(1)
     repeat(40, () => admit('large', { tokens: 300 }))
     repeat(40, () => admit('small', { tokens: 100 }))
     await settle()
@@ -89,7 +89,7 @@
   })
 
   it('shares in proportion to the weights of the accounts', async () => {
-    const { ask: admit, admitted, settle, finishOldest } = createPool(1, {}, { heavy: 3, light: 1 })
+    const { admit, admitted, settle, finishOldest } = createPool(1, {}, { heavy: 3, light: 1 })
     repeat(40, () => admit('heavy'))
     repeat(40, () => admit('light'))
     await settle()
@@ -99,7 +99,7 @@
 
   // An account that sends to two routers would otherwise get its share twice.
   it('includes the usage that other nodes report', async () => {
-    const { api, ask: admit, admitted, settle, finishOldest } = createPool(1)
+    const { api, admit, admitted, settle, finishOldest } = createPool(1)
     api.mergeUsage('other router', [{ clientAccount: 'surging', service: 'desk', tokens: 1_000 }])
     repeat(20, () => admit('surging'))
     repeat(10, () => admit('calm'))
@@ -109,7 +109,7 @@
   })
 
   it('drops the usage report of a peer that has stopped reporting', async () => {
-    const { clock, api, ask: admit, admitted, settle, finishOldest } = createPool(1)
+    const { clock, api, admit, admitted, settle, finishOldest } = createPool(1)
     api.mergeUsage('other router', [{ clientAccount: 'surging', service: 'desk', tokens: 1_000 }])
     clock.advance(defaultAdmissionOptions.peerUsageMaximumAgeMs + 1)
     repeat(5, () => admit('surging'))
@@ -120,7 +120,7 @@
   })
 
   it('publishes only the largest users', async () => {
-    const { api, ask: admit, settle } = createPool(10, { publishedAccounts: 2 })
+    const { api, admit, settle } = createPool(10, { publishedAccounts: 2 })
     admit('small', { tokens: 1 })
     admit('large', { tokens: 900 })
     admit('middle', { tokens: 90 })
@@ -129,7 +129,7 @@
   })
 
   it('gives overnight requests their configured share under interactive load', async () => {
-    const { ask: admit, admitted, settle, finishOldest } = createPool(1, { overnightShare: 0.25 })
+    const { admit, admitted, settle, finishOldest } = createPool(1, { overnightShare: 0.25 })
     repeat(60, () => admit('desk'))
     repeat(60, () => admit('summaries', { overnight: true }))
     await settle()
@@ -138,7 +138,7 @@
   })
 
   it('uses slots that are freed by other nodes', async () => {
-    const { clock, pool, ask: admit, admitted, settle } = createPool(0)
+    const { clock, pool, admit, admitted, settle } = createPool(0)
     admit('a')
     pool.slots = 1
     clock.advance(defaultAdmissionOptions.pollIntervalMs)
@@ -149,20 +149,20 @@
 
 describe('createAdmission when the queue is full', () => {
   it('limits the waiting requests of one account', async () => {
-    const { ask: admit } = createPool(0, { maximumQueuedPerAccount: 2 })
+    const { admit } = createPool(0, { maximumQueuedPerAccount: 2 })
     admit('a')
     admit('a')
     expect(reasonOf(await admit('a'))).toBe('queueFull')
   })
 
   it('queues no request when the maximum queue length is 0', async () => {
-    const { ask: admit } = createPool(1, { maximumQueued: 0 })
+    const { admit } = createPool(1, { maximumQueued: 0 })
     expect(reasonOf(await admit('a'))).toBe('admitted')
     expect(reasonOf(await admit('b'))).toBe('overShare')
   })
 
   it('refuses a request of the account furthest over its share, with a Retry-After', async () => {
-    const { ask: admit } = createPool(0, { maximumQueued: 3 })
+    const { admit } = createPool(0, { maximumQueued: 3 })
     const surging = repeat(3, () => admit('surging'))
     admit('calm')
     const refused = await surging[2]!
@@ -171,21 +171,21 @@
   })
 
   it('refuses a new request whose account is furthest over its share', async () => {
-    const { ask: admit } = createPool(0, { maximumQueued: 2 })
+    const { admit } = createPool(0, { maximumQueued: 2 })
     admit('calm')
     admit('surging')
     expect(reasonOf(await admit('surging'))).toBe('overShare')
   })
 
   it('refuses waiting overnight requests before interactive ones', async () => {
-    const { ask: admit } = createPool(0, { maximumQueued: 1 })
+    const { admit } = createPool(0, { maximumQueued: 1 })
     const overnight = admit('summaries', { overnight: true })
     admit('desk')
     expect(reasonOf(await overnight)).toBe('overShare')
   })
 
   it('refuses overnight requests when interactive ones fill the queue', async () => {
-    const { ask: admit } = createPool(0, { maximumQueued: 1 })
+    const { admit } = createPool(0, { maximumQueued: 1 })
     admit('desk')
     expect(reasonOf(await admit('summaries', { overnight: true }))).toBe('overShare')
   })
@@ -193,12 +193,12 @@
 
 describe('createAdmission deadlines and cancellation', () => {
   it('refuses a request whose deadline has passed', async () => {
-    const { clock, ask: admit } = createPool(1)
+    const { clock, admit } = createPool(1)
     expect(reasonOf(await admit('a', { deadlineAt: clock.now() }))).toBe('deadline')
   })
 
   it('refuses a waiting request at its deadline', async () => {
-    const { clock, ask: admit, settle } = createPool(0)
+    const { clock, admit, settle } = createPool(0)
     const waiting = admit('a', { deadlineAt: clock.now() + 10 })
     await settle()
     clock.advance(10)
@@ -206,7 +206,7 @@
   })
 
   it('refuses at once a request that the queue cannot serve before its deadline', async () => {
-    const { clock, ask: admit, settle, finishOldest } = createPool(1)
+    const { clock, admit, settle, finishOldest } = createPool(1)
     repeat(20, () => admit('a'))
     await settle()
     for (let turn = 0; turn < 5; turn += 1) {
@@ -218,7 +218,7 @@
   })
 
   it('removes the request of a caller that disconnects from the queue', async () => {
-    const { ask: admit, admitted, settle, finishOldest } = createPool(1)
+    const { admit, admitted, settle, finishOldest } = createPool(1)
     const hangUp = new AbortController()
     admit('a')
     const waiting = admit('a', { signal: hangUp.signal })
--- a/src/services/auditTrail/index.ts
+++ b/src/services/auditTrail/index.ts
@@ -12,7 +12,7 @@
 const GENERATION_DIGITS = 12
 const MAXIMUM_ENTRIES = 5_000
 const MAXIMUM_PRUNED_AT_ONCE = 100
-const MAXIMUM_WRITE_TRIES = 3
+const MAXIMUM_WRITE_ATTEMPTS = 3
 const MAXIMUM_SETTLED_AT_ONCE = 20
 const CONCURRENT_READS = 8
 
@@ -75,7 +75,7 @@
   /** The name contains the unique apply id, so a conflict means that an earlier attempt of this write took effect. */
   const create = async (entry: AuditEntry): Promise<Result<undefined, PlatformError>> => {
     let written = await platform.createObject(nameEntry(entry), encode(entry))
-    for (let tries = 1; tries < MAXIMUM_WRITE_TRIES && isUnknown(written); tries += 1) written = await platform.createObject(nameEntry(entry), encode(entry))
+    for (let attempts = 1; attempts < MAXIMUM_WRITE_ATTEMPTS && isUnknown(written); attempts += 1) written = await platform.createObject(nameEntry(entry), encode(entry))
     return written.ok || written.error.kind === 'conflict' ? success(undefined) : written
   }
 
@@ -90,7 +90,7 @@
   const settle: AuditTrail['settle'] = async (entry, outcome, reason) => {
     const settled = { ...entry, outcome, ...(reason === undefined ? {} : { reason }) }
     let written = await replace(settled)
-    for (let tries = 1; tries < MAXIMUM_WRITE_TRIES && !written.ok; tries += 1) written = await replace(settled)
+    for (let attempts = 1; attempts < MAXIMUM_WRITE_ATTEMPTS && !written.ok; attempts += 1) written = await replace(settled)
     return written
   }
 
--- a/src/services/backendHealth/_lib/createProbes.ts
+++ b/src/services/backendHealth/_lib/createProbes.ts
@@ -60,11 +60,11 @@
   return {
     assign: (servers, routers) => {
       const routersByZone = groupBy(routers, (router) => router.availabilityZone)
-      const isNear = (near: readonly Member[]): boolean => near.some((router) => router.nodeId === options.nodeId)
+      const hasSelf = (zoneRouters: readonly Member[]): boolean => zoneRouters.some((router) => router.nodeId === options.nodeId)
       const assigned = [...groupBy(servers, (server) => server.availabilityZone)].flatMap(([zone, zoneServers]) => {
-        const near = routersByZone.get(zone)
-        if (near === undefined) return assignZone(zoneServers, routers)
-        return isNear(near) ? assignZone(zoneServers, near) : []
+        const zoneRouters = routersByZone.get(zone)
+        if (zoneRouters === undefined) return assignZone(zoneServers, routers)
+        return hasSelf(zoneRouters) ? assignZone(zoneServers, zoneRouters) : []
       })
       const before = assignments
       assignments = new Map(assigned.map((assignment) => [assignment.server.name, assignment]))
--- a/src/services/backendHealth/test.ts
+++ b/src/services/backendHealth/test.ts
@@ -42,7 +42,7 @@
   service.start?.()
   const report = (name: string, changes: Partial<LoadReport>): void => { answers.set(name, { running: 0, waiting: 0, slots: 8, leaving: false, ageMs: 0, ...changes }) }
   const refuse = (name: string): void => { answers.set(name, { kind: 'notSent', message: 'refused' }) }
-  const silence = (name: string): void => { answers.set(name, { kind: 'cancelled' }) }
+  const makeUnresponsive = (name: string): void => { answers.set(name, { kind: 'cancelled' }) }
   const readVms = (name: string, state: Vm['state']): void => {
     for (const listen of vmListeners) listen([{ name, kind: 'backendServer', address: `http://${name}`, availabilityZone: 'venkov-a', state }])
   }
@@ -51,7 +51,7 @@
     for (const listen of configurationListeners) listen()
   }
   const health = service.api
-  return { clock, health, exchange, report, refuse, silence, readVms, applyStops, stateOf: (name: string) => health.status(name).state }
+  return { clock, health, exchange, report, refuse, makeUnresponsive, readVms, applyStops, stateOf: (name: string) => health.status(name).state }
 }
 
 type Node = ReturnType<typeof createNode>
@@ -160,7 +160,7 @@
   // Otherwise each request at a hung server would wait for its full time-out.
   it('ejects a server that accepts connections and answers no probe', async () => {
     const node = createNode()
-    node.silence('engine-0')
+    node.makeUnresponsive('engine-0')
     await node.clock.advanceAndSettle(6000)
     expect(node.stateOf('engine-0')).toBe('ejected')
   })
--- a/src/services/claims/_lib/createEntryRouter.ts
+++ b/src/services/claims/_lib/createEntryRouter.ts
@@ -48,7 +48,7 @@
     return writer === undefined || writer.nodeId === membership.self().nodeId
   }
 
-  const findQueue = (shard: number): ShardQueue => {
+  const getQueue = (shard: number): ShardQueue => {
     const known = queues.get(shard)
     if (known !== undefined) return known
     const log = createShardLog({ clock, random, platform, logger }, shard, { retentionMs: options.retentionMs })
@@ -81,7 +81,7 @@
 
   const submitHere = async (shard: number, entry: ClaimEntry, urgent: boolean): Promise<Result<EntryResult, ShardLogError>> => {
     if (urgent && !gate.tryEnter()) return failure({ kind: 'notWritten', message: 'the platform is down' })
-    return await findQueue(shard).submit(entry)
+    return await getQueue(shard).submit(entry)
   }
 
   const submit = async (entry: ClaimEntry, urgent: boolean): Promise<Result<EntryResult, ShardLogError>> => {
--- a/src/services/claims/_lib/pruneShard.ts
+++ b/src/services/claims/_lib/pruneShard.ts
@@ -43,10 +43,10 @@
  * the current root does not name can never be named again. Parts of a higher floor may
  * belong to another pruner that has not written its root yet.
  */
-const deletePartsUpTo = async (platform: Platform, shard: number, floor: number, kept: readonly string[]): Promise<void> => {
+const deletePartsUpTo = async (platform: Platform, shard: number, floor: number, currentParts: readonly string[]): Promise<void> => {
   const end = formatPartEnd(shard, floor)
   const list = await platform.listObjects(formatPartPrefix(shard))
-  if (list.ok) await deleteAll(platform, list.value.objects.filter(({ name }) => name < end && !kept.includes(name)))
+  if (list.ok) await deleteAll(platform, list.value.objects.filter(({ name }) => name < end && !currentParts.includes(name)))
 }
 
 export type PruneOutcome = 'pruned' | 'failed'
--- a/src/services/claims/index.ts
+++ b/src/services/claims/index.ts
@@ -138,8 +138,8 @@
 
   const complete = async (key: ClaimKey, claimId: string, answer: StoredAnswer): Promise<void> => {
     const keyId = formatKeyId(key)
-    const isKept = answer.body.byteLength <= options.maximumAnswerBytes
-    const written = background.add({ kind: 'completion', keyId, claimId, answer: isKept ? answer : undefined })
+    const isStored = answer.body.byteLength <= options.maximumAnswerBytes
+    const written = background.add({ kind: 'completion', keyId, claimId, answer: isStored ? answer : undefined })
     openClaims.end(keyId, claimId, { kind: 'completed', answer })
     await written
   }
--- a/src/services/configurationStore/_lib/createChunkStore.ts
+++ b/src/services/configurationStore/_lib/createChunkStore.ts
@@ -26,7 +26,7 @@
 }
 
 const PREFIX = 'configuration/chunks/'
-const MAXIMUM_TRIES = 5
+const MAXIMUM_ATTEMPTS = 5
 const CONCURRENT_CALLS = 8
 
 export const createChunkStore = (platform: Platform, hashContent: (content: Uint8Array) => string, waitToRetry: (failures: number) => Promise<void>): ChunkStore => {
@@ -51,8 +51,8 @@
   const writeChunk = async ({ hash, bytes }: ConfigurationChunk, listed: ObjectVersion | undefined): Promise<Result<undefined, PlatformError>> => {
     const name = `${PREFIX}${hash}`
     let written = await writeOnce(name, bytes, listed)
-    for (let tries = 1; tries < MAXIMUM_TRIES && !written.ok && written.error.kind !== 'rejected'; tries += 1) {
-      if (written.error.kind !== 'conflict') await waitToRetry(tries)
+    for (let attempts = 1; attempts < MAXIMUM_ATTEMPTS && !written.ok && written.error.kind !== 'rejected'; attempts += 1) {
+      if (written.error.kind !== 'conflict') await waitToRetry(attempts)
       written = await writeOnce(name, bytes, await findVersion(name))
     }
     return written.ok ? success(undefined) : written
--- a/src/services/configurationStore/_lib/writeRoot.ts
+++ b/src/services/configurationStore/_lib/writeRoot.ts
@@ -20,7 +20,7 @@
   | { readonly kind: 'notWritten', readonly message: string }
   | { readonly kind: 'unknown', readonly message: string }
 
-const MAXIMUM_TRIES = 6
+const MAXIMUM_ATTEMPTS = 6
 
 export const writeRoot = async (platform: Platform, root: ConfigurationRoot, expected: ObjectVersion | undefined, waitToRetry: (failures: number) => Promise<void>): Promise<RootWriteOutcome> => {
   const bytes = encodeRoot(root)
@@ -28,25 +28,25 @@
     expected === undefined ? platform.createObject(ROOT_NAME, bytes) : platform.updateObject(ROOT_NAME, bytes, expected)
   let wasLost = false
   let message = ''
-  for (let tries = 1; tries <= MAXIMUM_TRIES; tries += 1) {
+  for (let attempts = 1; attempts <= MAXIMUM_ATTEMPTS; attempts += 1) {
     const written = await write()
     if (written.ok) return { kind: 'accepted' }
     if (written.error.kind === 'conflict') return settleConflict(platform, root, wasLost, waitToRetry)
     message = 'message' in written.error ? written.error.message : written.error.kind
     if (written.error.kind === 'outcomeUnknown') wasLost = true
     else if (!wasLost) return { kind: 'notWritten', message }
-    if (tries < MAXIMUM_TRIES) await waitToRetry(tries)
+    if (attempts < MAXIMUM_ATTEMPTS) await waitToRetry(attempts)
   }
   return { kind: 'unknown', message }
 }
 
 const settleConflict = async (platform: Platform, root: ConfigurationRoot, wasLost: boolean, waitToRetry: (failures: number) => Promise<void>): Promise<RootWriteOutcome> => {
   let message = ''
-  for (let tries = 1; tries <= MAXIMUM_TRIES; tries += 1) {
+  for (let attempts = 1; attempts <= MAXIMUM_ATTEMPTS; attempts += 1) {
     const found = await platform.readObject(ROOT_NAME)
     if (found.ok) return determineOutcome(root, found.value?.bytes, wasLost)
     message = `the root could not be read back: ${found.error.kind}`
-    if (tries < MAXIMUM_TRIES) await waitToRetry(tries)
+    if (attempts < MAXIMUM_ATTEMPTS) await waitToRetry(attempts)
   }
   return wasLost ? { kind: 'unknown', message } : { kind: 'lost' }
 }
--- a/src/services/dispatch/_lib/createReply.ts
+++ b/src/services/dispatch/_lib/createReply.ts
@@ -5,7 +5,7 @@
  */
 import type { AnswerPart, CallerAnswer, Headers, Refusal } from '../../../types/index.js'
 
-const HIGH_WATER_BYTES = 65_536
+const HIGH_WATER_MARK_BYTES = 65_536
 
 export type Reply = {
   readonly answer: Promise<CallerAnswer>
@@ -46,7 +46,7 @@
   const queuedBytes = (): number => parts.reduce((sum, part) => sum + (part.kind === 'data' ? part.bytes.length : 0), 0)
 
   const waitForRoom = async (signal: AbortSignal): Promise<boolean> => {
-    while (!reader.isDone && !signal.aborted && queuedBytes() > HIGH_WATER_BYTES) {
+    while (!reader.isDone && !signal.aborted && queuedBytes() > HIGH_WATER_MARK_BYTES) {
       await waitForNotification(signal, (notify) => { notifyWriter = notify })
     }
     return !reader.isDone && !signal.aborted
--- a/src/services/dispatch/_lib/runAttempt.ts
+++ b/src/services/dispatch/_lib/runAttempt.ts
@@ -25,7 +25,7 @@
 }
 
 const describeSendFailure = (error: BackendError, watch: ReachabilityWatch): AttemptEnd => {
-  if (error.kind === 'cancelled' && watch.isLost()) return { kind: 'failed', attempt: createFailedAttempt('written', 'cut'), message: 'the backend server became unreachable', outcome: 'failed' }
+  if (error.kind === 'cancelled' && watch.isUnreachable()) return { kind: 'failed', attempt: createFailedAttempt('written', 'cut'), message: 'the backend server became unreachable', outcome: 'failed' }
   const describe = sendFailures[error.kind] as (error: BackendError) => AttemptEnd
   return describe(error)
 }
--- a/src/services/dispatch/_lib/watchReachability.ts
+++ b/src/services/dispatch/_lib/watchReachability.ts
@@ -12,19 +12,19 @@
 export type ReachabilityWatch = {
   /** Aborts with the request's scope, or when the backend server is unreachable. */
   readonly signal: AbortSignal
-  readonly isLost: () => boolean
+  readonly isUnreachable: () => boolean
   readonly stop: () => void
 }
 
 /** Consecutive failed checks, one interval apart, before an attempt is abandoned. */
-const FAILED_CHECKS_UNTIL_LOST = 2
+const FAILED_CHECKS_UNTIL_UNREACHABLE = 2
 
 export const isUnreachable = ({ dependencies }: RequestContext, backendServer: BackendServer): boolean =>
   dependencies.backendHealth.status(backendServer.name).state === 'unreachable'
 
 export const watchReachability = (context: RequestContext, backendServer: BackendServer): ReachabilityWatch => {
   const { dependencies, scope, reply, limits, reachabilityProbes } = context
-  const lost = new AbortController()
+  const unreachable = new AbortController()
   let failedChecks = 0
   let timer: Timer | undefined
 
@@ -32,14 +32,14 @@
     if (reply.hasStarted()) return
     const hasFailed = isUnreachable(context, backendServer) || reachabilityProbes.check(backendServer)
     failedChecks = hasFailed ? failedChecks + 1 : 0
-    if (failedChecks >= FAILED_CHECKS_UNTIL_LOST) lost.abort(new Error('the backend server became unreachable'))
+    if (failedChecks >= FAILED_CHECKS_UNTIL_UNREACHABLE) unreachable.abort(new Error('the backend server became unreachable'))
     else timer = dependencies.clock.setTimer(limits.reachabilityCheckMs, check)
   }
 
   if (isIdempotent(context)) timer = dependencies.clock.setTimer(limits.reachabilityCheckMs, check)
   return {
-    signal: AbortSignal.any([scope.signal, lost.signal]),
-    isLost: () => lost.signal.aborted,
+    signal: AbortSignal.any([scope.signal, unreachable.signal]),
+    isUnreachable: () => unreachable.signal.aborted,
     stop: () => timer?.cancel()
   }
 }
--- a/src/services/fleetLoad/test.ts
+++ b/src/services/fleetLoad/test.ts
@@ -109,8 +109,8 @@
   it('does not wait for a router that is not responding', async () => {
     const { clock, network, nodes, readAll } = createFleet(9)
     for (const { counts } of nodes) counts.set('engine-0', 1)
-    const silent = nodes[8]!
-    for (const other of nodes.slice(0, 8)) network.cut(silent.self.address, other.self.address)
+    const unresponsive = nodes[8]!
+    for (const other of nodes.slice(0, 8)) network.cut(unresponsive.self.address, other.self.address)
     await clock.advanceAndSettle(SETTLE_MS)
     expect(readAll('engine-0').slice(0, 8)).toEqual(Array.from({ length: 8 }, () => 7))
   })
--- a/src/services/forwarding/_lib/checkKey.ts
+++ b/src/services/forwarding/_lib/checkKey.ts
@@ -3,11 +3,11 @@
 import type { GatewayAccount, GatewayConfigurationHolder, GatewayRequest, GatewayRoute } from '../../../types/index.js'
 
 export type KeyStatus =
-  | 'good'
+  | 'valid'
   /** The configuration in force no longer contains it. */
-  | 'takenAway'
+  | 'revoked'
   /** The configuration in force was confirmed to be the newest too long ago. */
-  | 'unproved'
+  | 'unconfirmed'
 
 export type KeyCheckDependencies = {
   readonly configuration: GatewayConfigurationHolder
@@ -22,8 +22,8 @@
   route: GatewayRoute,
   account: GatewayAccount | undefined
 ): KeyStatus => {
-  if (request.credential === undefined || account === undefined) return 'good'
-  if (configuration.confirmedAgeMs() >= readKeyFreshnessMs()) return 'unproved'
+  if (request.credential === undefined || account === undefined) return 'valid'
+  if (configuration.confirmedAgeMs() >= readKeyFreshnessMs()) return 'unconfirmed'
   const current = configuration.current()
-  return current === undefined || findAccount(current, route, request.credential) === 'unknown' ? 'takenAway' : 'good'
+  return current === undefined || findAccount(current, route, request.credential) === 'unknown' ? 'revoked' : 'valid'
 }
--- a/src/services/forwarding/_lib/createAnswerIntake.test.ts
+++ b/src/services/forwarding/_lib/createAnswerIntake.test.ts
@@ -35,7 +35,7 @@
   const seen: string[] = []
   const sink: CallerSink = {
     refuse: () => { seen.push('refuse') },
-    whole: (_answer, body) => { seen.push(`whole ${body.length}`) },
+    complete: (_answer, body) => { seen.push(`whole ${body.length}`) },
     head: () => { seen.push('head') },
     data: (bytes) => {
       seen.push(Buffer.from(bytes).toString('utf8').trim())
@@ -54,8 +54,8 @@
     onComplete: caller.sendComplete,
     onStreamEnd: caller.end
   })
-  intake.takeHead(answer)
-  return { caller, seen, take: (text: string) => intake.takeData(Buffer.from(text), undefined), end: intake.takeEnd }
+  intake.handleHead(answer)
+  return { caller, seen, take: (text: string) => intake.handleData(Buffer.from(text), undefined), end: intake.handleEnd }
 }
 
 describe('createAnswerIntake', () => {
--- a/src/services/forwarding/_lib/createAnswerIntake.ts
+++ b/src/services/forwarding/_lib/createAnswerIntake.ts
@@ -26,9 +26,9 @@
 }
 
 export type AnswerIntake = {
-  readonly takeHead: (answer: InstanceAnswer) => void
-  readonly takeData: (bytes: Uint8Array, exchange: Exchange | undefined) => void
-  readonly takeEnd: () => void
+  readonly handleHead: (answer: InstanceAnswer) => void
+  readonly handleData: (bytes: Uint8Array, exchange: Exchange | undefined) => void
+  readonly handleEnd: () => void
 }
 
 /** An answer that is no event stream is buffered up to this size; longer ones are passed on as they arrive. */
@@ -65,7 +65,7 @@
   }
 
   return {
-    takeHead: (head) => {
+    handleHead: (head) => {
       answer = head
       const answerClass = classifyAnswer(request, head)
       if (answerClass.kind === 'foreign') return listener.onBroken(answerClass.message)
@@ -73,13 +73,13 @@
       if (caller.hasBegun() && !isStream(head)) return listener.onBroken(`status ${head.status} instead of the rest of the stream`)
       listener.onHead(head)
     },
-    takeData: (bytes, exchange) => {
+    handleData: (bytes, exchange) => {
       if (answer === undefined) return
       if (isStream(answer)) return passEvents(answer, bytes, exchange)
       if (!caller.hasBegun()) return bufferBytes(answer, bytes, exchange)
       caller.pass(bytes, exchange)
     },
-    takeEnd: () => {
+    handleEnd: () => {
       if (answer === undefined) return listener.onBroken('end without an answer')
       if (reader.pendingBytes() > 0) return listener.onBroken('end in the middle of an event')
       if (isStream(answer)) beginWith(answer)
--- a/src/services/forwarding/_lib/createCallerAnswer.ts
+++ b/src/services/forwarding/_lib/createCallerAnswer.ts
@@ -17,7 +17,7 @@
   readonly sendComplete: (answer: InstanceAnswer, body: Uint8Array) => void
   readonly refuse: (refusal: GatewayRefusal) => void
   /** Aborts the caller's connection so that the answer does not look complete. */
-  readonly breakOff: () => void
+  readonly abort: () => void
 }
 
 /** Creates the answer for a caller that already has the events up to `lastEventId`. */
@@ -36,8 +36,8 @@
       sink.onDrain(() => exchange?.resume())
     },
     end: sink.end,
-    sendComplete: sink.whole,
+    sendComplete: sink.complete,
     refuse: sink.refuse,
-    breakOff: sink.fail
+    abort: sink.fail
   }
 }
--- a/src/services/forwarding/_lib/createFinalAnswer.ts
+++ b/src/services/forwarding/_lib/createFinalAnswer.ts
@@ -48,7 +48,7 @@
     abortAttempt()
     const { mayHaveRun } = readProgress()
     if (caller.hasBegun()) {
-      caller.breakOff()
+      caller.abort()
       return finish('brokenOff', { reason: refusal.reason, mayHaveRun, lastEventId: caller.relay.lastEventId(), ...evidence })
     }
     caller.refuse(refusal)
--- a/src/services/forwarding/_lib/createFirstByteTimes.ts
+++ b/src/services/forwarding/_lib/createFirstByteTimes.ts
@@ -8,7 +8,7 @@
 }
 
 /** Weight of the newest time: the average spans about thirty requests. */
-const NEWEST_WEIGHT = 0.03
+const SMOOTHING_FACTOR = 0.03
 /** Below this, differences are network jitter; in milliseconds. */
 const FLOOR_MS = 20
 
@@ -18,7 +18,7 @@
   return {
     recordAndCompare: (route, milliseconds) => {
       const average = averages.get(route) ?? milliseconds
-      averages.set(route, average + NEWEST_WEIGHT * (milliseconds - average))
+      averages.set(route, average + SMOOTHING_FACTOR * (milliseconds - average))
       return (milliseconds + FLOOR_MS) / (average + FLOOR_MS)
     },
     readAverage: (route) => averages.get(route)
--- a/src/services/forwarding/_lib/createRequestHandler.ts
+++ b/src/services/forwarding/_lib/createRequestHandler.ts
@@ -62,8 +62,8 @@
   }
 
   const endAttempt = (current: SendAttempt): void => {
-    if (current.isOver) return
-    current.isOver = true
+    if (current.isFinished) return
+    current.isFinished = true
     loadView.recordEnd(formatInstanceKey(current.instance))
     health.recordEnd(current.instance)
   }
@@ -111,7 +111,7 @@
     await context.configuration.confirm(KEY_CONFIRM_WAIT_MS)
     isWaitingForKey = false
     if (isDone) return
-    if (checkKey(context, request, to, account) === 'unproved') return giveUp('staleKeys', 504)
+    if (checkKey(context, request, to, account) === 'unconfirmed') return giveUp('staleKeys', 504)
     send()
   }
 
@@ -119,11 +119,11 @@
     if (isDone || route === undefined || body === undefined || isWaitingForKey) return
     // Checked before every send: the request may have waited since the last check.
     const keyStatus = checkKey(context, request, route, account)
-    if (keyStatus === 'unproved') {
+    if (keyStatus === 'unconfirmed') {
       confirmKey(route)
       return
     }
-    if (keyStatus === 'takenAway') return mayHaveRun ? giveUp('unknownKey', 502) : refuse({ status: 401, reason: 'unknownKey' })
+    if (keyStatus === 'revoked') return mayHaveRun ? giveUp('unknownKey', 502) : refuse({ status: 401, reason: 'unknownKey' })
     // Checked before every send, retries included: the shutdown may have begun while the request waited.
     if (!context.shutdownGate.passes(route, request, computeMaximumMs(route))) return mayHaveRun ? giveUp('shuttingDown', 502) : refuse(SHUTTING_DOWN)
     const remainingMs = deadlineAt() - clock.now()
@@ -176,9 +176,9 @@
         onData: (bytes) => {
           if (activeAttempt !== current) return
           reporter.reportBody(current)
-          intake.takeData(bytes, current.exchange)
+          intake.handleData(bytes, current.exchange)
         },
-        onEnd: () => { if (activeAttempt === current) intake.takeEnd() },
+        onEnd: () => { if (activeAttempt === current) intake.handleEnd() },
         onFailure: (failure) => { if (activeAttempt === current) handleFailure(current, failure) }
       }
     )
@@ -188,7 +188,7 @@
     reporter.reportHead(current, answer)
     record.recordStep('head')
     record.recordFirstByteTime(clock.now() - current.startedAt)
-    intake.takeHead(answer)
+    intake.handleHead(answer)
   }
 
   /** The backend server states that it did not run the request, so the send does not count. */
--- a/src/services/forwarding/_lib/createRetryWindows.ts
+++ b/src/services/forwarding/_lib/createRetryWindows.ts
@@ -17,14 +17,14 @@
 export const createRetryWindows = (readLimits: () => RetryWindowLimits, countNodes: () => number, clock: Clock): RetryWindows => {
   const windows = new Map<string, RetryWindow>()
   const read = (service: string): RetryWindow => windows.get(service) ?? EMPTY
-  const updateWindow = (service: string, kind: 'first' | 'repeat'): void => { windows.set(service, recordSend(read(service), kind, readLimits(), clock.now())) }
+  const updateWindow = (service: string, kind: 'first' | 'retry'): void => { windows.set(service, recordSend(read(service), kind, readLimits(), clock.now())) }
   const canRetry = (service: string): boolean => grantRetry(read(service), readLimits(), countNodes(), clock.now())
   return {
     recordFirstSend: (service) => updateWindow(service, 'first'),
     canRetry,
     takeRetry: (service) => {
       if (!canRetry(service)) return false
-      updateWindow(service, 'repeat')
+      updateWindow(service, 'retry')
       return true
     }
   }
--- a/src/services/forwarding/_lib/createSendAttempt.ts
+++ b/src/services/forwarding/_lib/createSendAttempt.ts
@@ -11,10 +11,10 @@
   firstBytesAt: number | undefined
   /** Monotonic milliseconds at which bytes last arrived; the start until then. */
   lastBytesAt: number
-  isOver: boolean
+  isFinished: boolean
   isUnresponsiveReported: boolean
 }
 
 /** Creates the state of an attempt that starts now; `now` in monotonic milliseconds. */
 export const createSendAttempt = (instance: BackendInstance, now: number): SendAttempt =>
-  ({ instance, startedAt: now, exchange: undefined, isSent: false, firstBytesAt: undefined, lastBytesAt: now, isOver: false, isUnresponsiveReported: false })
+  ({ instance, startedAt: now, exchange: undefined, isSent: false, firstBytesAt: undefined, lastBytesAt: now, isFinished: false, isUnresponsiveReported: false })
--- a/src/services/forwarding/_lib/createShutdownGate.ts
+++ b/src/services/forwarding/_lib/createShutdownGate.ts
@@ -23,7 +23,7 @@
   let shutdown: { readonly beganAt: number, readonly endsAt: number } | undefined
 
   /** Milliseconds per token at the slowest service to which the route may send. */
-  const readTokenMs = (route: GatewayRoute): number =>
+  const readTokenIntervalMs = (route: GatewayRoute): number =>
     Math.max(...route.targets.map(({ service }) => tokenPace.read(service) ?? DEFAULT_TOKEN_INTERVAL_MS))
 
   return {
@@ -31,13 +31,13 @@
     passes: (route, request, maximumMs) => {
       if (shutdown === undefined) return true
       const now = clock.now()
-      const leftMs = shutdown.endsAt - now
+      const remainingMs = shutdown.endsAt - now
       return admitDuringShutdown({
-        untilExitMs: leftMs,
+        untilExitMs: remainingMs,
         untilDeadlineMs: maximumMs,
         arrivedAfterMs: request.receivedAt - shutdown.beganAt,
-        lateShare: route.retryPolicy === 'stream' ? streamDurations.shareOver(route.name, leftMs, now) : undefined,
-        estimatedDurationMs: estimateDuration({ route, outputTokens: request.tokens.output, tokenIntervalMs: readTokenMs(route) })
+        lateShare: route.retryPolicy === 'stream' ? streamDurations.shareOver(route.name, remainingMs, now) : undefined,
+        estimatedDurationMs: estimateDuration({ route, outputTokens: request.tokens.output, tokenIntervalMs: readTokenIntervalMs(route) })
       })
     }
   }
--- a/src/services/forwarding/_lib/createTokenPace.test.ts
+++ b/src/services/forwarding/_lib/createTokenPace.test.ts
@@ -6,9 +6,9 @@
 const GRACE_MS = 7_500
 const TOKENS = 1_000
 
-const createPaceOf = (tokenMs: number) => {
+const createPaceOf = (tokenIntervalMs: number) => {
   const pace = createTokenPace()
-  for (let stream = 0; stream < 20; stream++) pace.record('engines', 400, 400 * tokenMs)
+  for (let stream = 0; stream < 20; stream++) pace.record('engines', 400, 400 * tokenIntervalMs)
   return pace
 }
 
@@ -39,8 +39,8 @@
     ['accepted on engines three times faster', 3.5 / 3, true],
     ['accepted on engines that are fast enough', 3.5, true],
     ['refused on engines three times slower', 3.5 * 3, false]
-  ])('a long stream at the start of a shutdown is %s', (_what, tokenMs, isTaken) => {
-    const estimate = estimateDuration({ route: ROUTE, outputTokens: TOKENS, tokenIntervalMs: createPaceOf(tokenMs).read('engines') ?? DEFAULT_TOKEN_INTERVAL_MS })
-    expect(estimate <= GRACE_MS).toBe(isTaken)
+  ])('a long stream at the start of a shutdown is %s', (_what, tokenIntervalMs, isAccepted) => {
+    const estimate = estimateDuration({ route: ROUTE, outputTokens: TOKENS, tokenIntervalMs: createPaceOf(tokenIntervalMs).read('engines') ?? DEFAULT_TOKEN_INTERVAL_MS })
+    expect(estimate <= GRACE_MS).toBe(isAccepted)
   })
 })
--- a/src/services/forwarding/_lib/createTokenPace.ts
+++ b/src/services/forwarding/_lib/createTokenPace.ts
@@ -18,9 +18,9 @@
   return {
     record: (service, tokens, milliseconds) => {
       if (tokens < MINIMUM_TOKENS) return
-      const tokenMs = milliseconds / tokens
-      const pace = paces.get(service) ?? tokenMs
-      paces.set(service, Math.max(tokenMs, pace + FASTER_WEIGHT * (tokenMs - pace)))
+      const tokenIntervalMs = milliseconds / tokens
+      const pace = paces.get(service) ?? tokenIntervalMs
+      paces.set(service, Math.max(tokenIntervalMs, pace + FASTER_WEIGHT * (tokenIntervalMs - pace)))
     },
     read: (service) => paces.get(service)
   }
--- a/src/services/forwarding/_lib/requestHandler.ts
+++ b/src/services/forwarding/_lib/requestHandler.ts
@@ -4,7 +4,7 @@
 import type { StreamDurations } from './createStreamDurations.js'
 import type { FirstByteTimes } from './createFirstByteTimes.js'
 import type { TokenPace } from './createTokenPace.js'
-import type { ForwardingRun, GatewayAccount, GatewayRoute } from '../../../types/index.js'
+import type { ForwardedRequest, GatewayAccount, GatewayRoute } from '../../../types/index.js'
 import type { ForwardingDependencies } from '../index.js'
 
 export type RequestHandlerContext = ForwardingDependencies & {
@@ -20,7 +20,7 @@
   readonly onDone: () => void
 }
 
-export type RequestHandler = ForwardingRun & {
+export type RequestHandler = ForwardedRequest & {
   readonly assign: (route: GatewayRoute, account: GatewayAccount | undefined) => void
   /** Checks the deadline and the time without bytes; called periodically, `now` in monotonic milliseconds. */
   readonly check: (now: number) => void
--- a/src/services/forwarding/_lib/selectInstance.test.ts
+++ b/src/services/forwarding/_lib/selectInstance.test.ts
@@ -22,7 +22,7 @@
   receivedAt: 0
 }
 
-type Server = { readonly zone: string, readonly load: number, readonly isLeaving?: boolean, readonly isHeld?: boolean, readonly isWarming?: boolean }
+type Server = { readonly zone: string, readonly load: number, readonly isLeaving?: boolean, readonly isSuspended?: boolean, readonly isWarming?: boolean }
 
 /** Selects a server for a request whose shared prefix is cached by the server `keeper`; zone `drained` is drained. */
 const choose = (servers: Readonly<Record<string, Server>>, tried: readonly string[] = []) => {
@@ -39,7 +39,7 @@
       markGone: () => {},
       onChange: () => {}
     },
-    health: { recordStart: () => {}, recordEnd: () => {}, recordBytes: () => {}, record: () => {}, isSuspended: ({ id }) => servers[id]?.isHeld === true, readIdleMs: () => 0, compareWith: () => () => 1, retain: () => {} },
+    health: { recordStart: () => {}, recordEnd: () => {}, recordBytes: () => {}, record: () => {}, isSuspended: ({ id }) => servers[id]?.isSuspended === true, readIdleMs: () => 0, compareWith: () => () => 1, retain: () => {} },
     directory: { record: () => {}, listCachedTokens: () => new Map([['keeper@1', 8_000]]), onRecovered: () => {} },
     loadView: { recordStart: () => {}, recordEnd: () => {}, estimateInFlight: (key) => servers[key.split('@')[0]!]?.load ?? 0, ownInFlight: () => 0, applyReport: () => {} },
     random: { next: () => 0.5, nextId: () => 'id' },
@@ -62,7 +62,7 @@
   test.each<[string, Server]>([
     ['in a drained zone', { zone: 'drained', load: 0 }],
     ['that are warming up', { zone: 'a', load: 0, isWarming: true }],
-    ['that are suspended', { zone: 'a', load: 0, isHeld: true }],
+    ['that are suspended', { zone: 'a', load: 0, isSuspended: true }],
     ['that are leaving', { zone: 'a', load: 0, isLeaving: true }]
   ])('counts servers %s in the mean that bounds the load', (_what, closed) => {
     const chosen = choose({ ...OPEN, e: closed, f: closed })
--- a/src/services/forwarding/test.ts
+++ b/src/services/forwarding/test.ts
@@ -95,20 +95,20 @@
     availabilityZone: 'a',
     readBounds: () => ({ loadFactor: 2, retryLimits: { ratio: 0.2, extra: 50, windowMs: 10_000 }, keyFreshnessMs: 4_500, configurationFreshnessMs: 2_000 })
   })
-  const sink: CallerSink = { refuse: ({ status, reason }) => { answers.push(`${status} ${reason}`) }, whole: () => {}, head: () => {}, data: () => true, onDrain: () => {}, end: () => {}, fail: () => { answers.push('broken off') } }
+  const sink: CallerSink = { refuse: ({ status, reason }) => { answers.push(`${status} ${reason}`) }, complete: () => {}, head: () => {}, data: () => true, onDrain: () => {}, end: () => {}, fail: () => { answers.push('broken off') } }
   return {
     clock,
     sent,
     answers,
     exchanges,
-    beginStopping: forwarding.api.beginShutdown,
+    beginShutdown: forwarding.api.beginShutdown,
     call: (requestId: string, path: string, bodyAfterMs = 0): void => {
       const request: GatewayRequest = { requestId, method: 'GET', host: 'shop.example', target: path, headers: [], credential: undefined, callerTimeoutMs: TIMEOUT_MS, lastEventId: undefined, promptParts: [], tokens: { prompt: 0, output: 1_000 }, receivedAt: clock.now() }
       const run = forwarding.api.begin(request, sink)
       if (bodyAfterMs === 0) run.submit(new Uint8Array())
       else clock.setTimer(bodyAfterMs, () => run.submit(new Uint8Array()))
     },
-    learn: (): void => {
+    provideInitialState: (): void => {
       isKnown = true
       for (const listener of listeners) listener()
     }
@@ -121,7 +121,7 @@
     node.call('r1', '/short/1')
     await node.clock.advanceAndSettle(100)
     expect([node.sent, node.answers]).toEqual([[], []])
-    node.learn()
+    node.provideInitialState()
     expect(node.sent).toEqual(['r1'])
   })
 
@@ -132,7 +132,7 @@
     node.call('long-2', '/long/2')
     node.call('short-1', '/short/1')
     await node.clock.advanceAndSettle(60)
-    node.learn()
+    node.provideInitialState()
     expect(node.sent).toEqual(['short-1', 'long-1', 'long-2'])
   })
 
@@ -141,7 +141,7 @@
     node.call('r1', '/short/1')
     await node.clock.advanceAndSettle(450)
     expect(node.answers).toEqual(['503 noConfiguration'])
-    node.learn()
+    node.provideInitialState()
     expect(node.sent).toEqual([])
   })
 })
@@ -150,23 +150,23 @@
   // A request that was admitted in time but waited for its body before the send was cut off by the end of the node.
   test.each([[100, ['r1'], []], [800, [], ['503 shuttingDown']]])('checks the remaining time again after %i ms of waiting for a body', async (bodyAfterMs, sent, answers) => {
     const node = startNode()
-    node.learn()
-    node.beginStopping(node.clock.now() + TIMEOUT_MS + 500)
+    node.provideInitialState()
+    node.beginShutdown(node.clock.now() + TIMEOUT_MS + 500)
     node.call('r1', '/short/1', bodyAfterMs)
     await node.clock.advanceAndSettle(bodyAfterMs + 1)
     expect([node.sent, node.answers]).toEqual([sent, answers])
   })
 
   /** Breaks off a stream after its first event, `leftMs` before the end of the node. */
-  const breakStream = async (leftMs: number) => {
+  const breakStream = async (remainingMs: number) => {
     const node = startNode()
-    node.learn()
+    node.provideInitialState()
     node.call('r1', '/stream/1')
     const [exchange] = node.exchanges
     exchange!.onSent()
     exchange!.onHead(STREAM_HEAD)
     exchange!.onData(Buffer.from('id: 1\ndata: x\n\n'))
-    node.beginStopping(node.clock.now() + leftMs)
+    node.beginShutdown(node.clock.now() + remainingMs)
     await node.clock.advanceAndSettle(1)
     exchange!.onFailure({ kind: 'broken', message: 'reset' })
     return node
--- a/src/services/gatewayConfiguration/_lib/createConfigurationHistory.ts
+++ b/src/services/gatewayConfiguration/_lib/createConfigurationHistory.ts
@@ -11,7 +11,7 @@
   readonly add: (sourced: SourcedConfiguration) => void
   readonly find: (revision: number) => SourcedConfiguration | undefined
   /** Returns the update from `revision` to the newest configuration; the complete one if `revision` is unknown on this node. */
-  readonly updateSince: (revision: number) => ConfigurationUpdate | undefined
+  readonly getUpdateFrom: (revision: number) => ConfigurationUpdate | undefined
 }
 
 /** Number of configurations kept; they share the records that did not change. */
@@ -36,7 +36,7 @@
       for (const revision of [...byRevision.keys()].slice(0, -MAXIMUM_CONFIGURATIONS)) byRevision.delete(revision)
     },
     find: (revision) => byRevision.get(revision),
-    updateSince: (revision) => {
+    getUpdateFrom: (revision) => {
       if (newest === undefined) return undefined
       const base = byRevision.get(revision)
       const known = updatesByBase.get(base?.revision)
--- a/src/services/gatewayConfiguration/index.ts
+++ b/src/services/gatewayConfiguration/index.ts
@@ -37,11 +37,11 @@
 
 export type RunningGatewayConfiguration = RunningService<GatewayConfigurationHolder> & {
   /** Applies a peer's reply to a request that was sent at `requestedAt`; the peer's age is at most `ageMs` plus the time since then. */
-  readonly learn: (requestedAt: ClockReading, ageMs: number, version: number, update: ConfigurationUpdate | undefined) => void
+  readonly applyPeerUpdate: (requestedAt: ClockReading, ageMs: number, version: number, update: ConfigurationUpdate | undefined) => void
   /** Revision of the source's write that the configuration in force came from; 0 before the first. */
   readonly revision: () => number
   /** Returns the update that brings a peer with an older version to the version in force on this node. */
-  readonly updateSince: (version: number, revision: number) => ConfigurationUpdate | undefined
+  readonly createPeerUpdate: (version: number, revision: number) => ConfigurationUpdate | undefined
   /** Reports that a peer has the given version. */
   readonly recordPeerVersion: (version: number) => void
   /** Registers a listener that is called when the source cannot confirm the configuration, or a peer has a newer version. */
@@ -155,8 +155,8 @@
   }
 
   const tick = (): void => {
-    const { isRelyingOnReaders: isRelying, recheckAfterMs: lookAfterMs } = pace()
-    if (isRelying) schedule(lookAfterMs)
+    const { isRelyingOnReaders, recheckAfterMs } = pace()
+    if (isRelyingOnReaders) schedule(recheckAfterMs)
     else read()
   }
 
@@ -196,7 +196,7 @@
       },
       onChange: (listener) => { listeners.push(listener) }
     },
-    learn: (requestedAt, ageMs, newestVersion, update) => {
+    applyPeerUpdate: (requestedAt, ageMs, newestVersion, update) => {
       const recordConfirmation = (): void => confirm(requestedAt, ageMs)
       if (update !== undefined && newestVersion > version()) {
         const decoded = decodeUpdate(update)
@@ -208,7 +208,7 @@
       if (newestVersion === version()) recordConfirmation()
     },
     revision: () => sourced?.revision ?? 0,
-    updateSince: (known, revision) => known < version() ? history.updateSince(revision) : undefined,
+    createPeerUpdate: (known, revision) => known < version() ? history.getUpdateFrom(revision) : undefined,
     recordPeerVersion: (known) => {
       if (known <= version()) return
       highestPeerVersion = Math.max(highestPeerVersion, known)
--- a/src/services/gatewayConfiguration/test.ts
+++ b/src/services/gatewayConfiguration/test.ts
@@ -5,7 +5,7 @@
 import { packRecords } from './_lib/packRecords.js'
 import type { ConfigurationUpdate, ConfigurationSource, GatewayConfiguration, Logger, SourcedConfiguration } from '../../types/index.js'
 
-const SILENT: Logger = { error: () => {}, warn: () => {}, info: () => {}, debug: () => {} }
+const SILENT_LOGGER: Logger = { error: () => {}, warn: () => {}, info: () => {}, debug: () => {} }
 
 const createConfiguration = (version: number): GatewayConfiguration => ({
   version,
@@ -30,7 +30,7 @@
     }
   }
   const clocks = { monotonic: clock.now, wall: clock.now, boot: clock.now }
-  const holder = createGatewayConfiguration({ clock, source, logger: SILENT, clocks }, { readIntervalMs: 800 })
+  const holder = createGatewayConfiguration({ clock, source, logger: SILENT_LOGGER, clocks }, { readIntervalMs: 800 })
   const readClocks = () => ({ monotonic: clock.now(), wall: clock.now(), boot: clock.now() })
   return { clock, holder, readClocks }
 }
@@ -67,17 +67,17 @@
     ['a change that names more records than there are', { kind: 'change', revision: 4, base: 3, change: { rest: [{ from: 0, count: 2 }] } }]
   ])('with a newer configuration as %s confirms nothing', (_name, update) => {
     const { holder, readClocks } = createHolder(async () => failure({ kind: 'unavailable', message: 'away' }))
-    holder.learn(readClocks(), 100, 3, packVersion(3))
+    holder.applyPeerUpdate(readClocks(), 100, 3, packVersion(3))
     expect(holder.api.confirmedAgeMs()).toBe(100)
-    holder.learn(readClocks(), 0, 4, update)
+    holder.applyPeerUpdate(readClocks(), 0, 4, update)
     expect(holder.api.version()).toBe(3)
     expect(holder.api.confirmedAgeMs()).toBe(100)
   })
 
   test('with the same version confirms it', () => {
     const { holder, readClocks } = createHolder(async () => failure({ kind: 'unavailable', message: 'away' }))
-    holder.learn(readClocks(), 100, 3, packVersion(3))
-    holder.learn(readClocks(), 20, 3, undefined)
+    holder.applyPeerUpdate(readClocks(), 100, 3, packVersion(3))
+    holder.applyPeerUpdate(readClocks(), 20, 3, undefined)
     expect(holder.api.confirmedAgeMs()).toBe(20)
   })
 })
--- a/src/services/instanceHealth/index.ts
+++ b/src/services/instanceHealth/index.ts
@@ -62,7 +62,7 @@
  */
 export const createInstanceHealth = (dependencies: { readonly clock: Clock, readonly logger: Logger, readonly client: Pick<InstanceClient, 'probe'> }): RunningService<InstanceHealth> => {
   const { clock, logger, client } = dependencies
-  const conditions = new Map<string, InstanceHealthState>()
+  const states = new Map<string, InstanceHealthState>()
   const activities = new Map<string, Activity>()
   const zones = new Map<string, ZoneReachability>()
   const awaitingProbe = new Map<string, BackendInstance>()
@@ -70,9 +70,9 @@
   let timer: Timer | undefined
   let isStopped = false
 
-  const readCondition = (instance: BackendInstance): InstanceHealthState => conditions.get(formatInstanceKey(instance)) ?? initialInstanceHealth
+  const readState = (instance: BackendInstance): InstanceHealthState => states.get(formatInstanceKey(instance)) ?? initialInstanceHealth
 
-  const findActivity = (instance: BackendInstance): Activity => {
+  const getActivity = (instance: BackendInstance): Activity => {
     const key = formatInstanceKey(instance)
     const known = activities.get(key)
     if (known !== undefined) return known
@@ -81,7 +81,7 @@
     return created
   }
 
-  const findZone = (name: string): ZoneReachability => {
+  const getZone = (name: string): ZoneReachability => {
     const known = zones.get(name)
     if (known !== undefined) return known
     const created = { reachedAt: -Infinity, unreachableAt: new Map() }
@@ -90,13 +90,13 @@
   }
 
   const recordZoneReached = (instance: BackendInstance): void => {
-    const zone = findZone(instance.availabilityZone)
+    const zone = getZone(instance.availabilityZone)
     zone.reachedAt = clock.now()
     if (zone.unreachableAt.size > 0) zone.unreachableAt.clear()
   }
 
   const recordZoneUnreachable = (instance: BackendInstance): void => {
-    const zone = findZone(instance.availabilityZone)
+    const zone = getZone(instance.availabilityZone)
     zone.unreachableAt.set(formatInstanceKey(instance), clock.now())
     if (zone.unreachableAt.size === MINIMUM_UNREACHABLE_SERVERS) logger.warn('availability zone held', { zone: instance.availabilityZone, unheardMs: Math.round(clock.now() - zone.reachedAt) })
   }
@@ -104,20 +104,20 @@
   const isZoneSuspended = (name: string): boolean => (zones.get(name)?.unreachableAt.size ?? 0) >= MINIMUM_UNREACHABLE_SERVERS
 
   const isInstanceSuspended = (instance: BackendInstance): boolean => {
-    const condition = readCondition(instance)
-    return condition.suspendedUntil > clock.now() || condition.needsProbe
+    const state = readState(instance)
+    return state.suspendedUntil > clock.now() || state.needsProbe
   }
 
-  const computeMedianCondition = (peers: readonly BackendInstance[]): Pick<InstanceHealthState, 'errorShare' | 'slowness'> => {
-    const all = peers.map(readCondition)
+  const computeMedianState = (peers: readonly BackendInstance[]): Pick<InstanceHealthState, 'errorShare' | 'slowness'> => {
+    const all = peers.map(readState)
     return { errorShare: median(all.map(({ errorShare }) => errorShare)), slowness: Math.max(1, median(all.map(({ slowness }) => slowness))) }
   }
 
   const record = (instance: BackendInstance, event: InstanceHealthEvent): void => {
     const wasSuspended = isInstanceSuspended(instance)
-    const before = readCondition(instance)
+    const before = readState(instance)
     const after = advanceInstanceHealth(before, event, clock.now())
-    conditions.set(formatInstanceKey(instance), after)
+    states.set(formatInstanceKey(instance), after)
     if (event.kind === 'unreachable') recordZoneUnreachable(instance)
     if (event.kind === 'reached' || event.kind === 'answered') recordZoneReached(instance)
     if (after.needsProbe) scheduleProbe(instance)
@@ -139,7 +139,7 @@
     timer = undefined
     const now = clock.now()
     for (const [key, instance] of awaitingProbe) {
-      if (!probing.has(key) && readCondition(instance).suspendedUntil <= now) probe(key, instance)
+      if (!probing.has(key) && readState(instance).suspendedUntil <= now) probe(key, instance)
     }
     if (awaitingProbe.size > 0 && !isStopped) timer = clock.setTimer(PROBE_TICK_MS, probeDue)
   }
@@ -151,35 +151,35 @@
 
   const api: InstanceHealth = {
     recordStart: (instance) => {
-      const activity = findActivity(instance)
+      const activity = getActivity(instance)
       if (activity.openRequests === 0) activity.idleSince = clock.now()
       activity.openRequests += 1
     },
-    recordEnd: (instance) => { findActivity(instance).openRequests -= 1 },
+    recordEnd: (instance) => { getActivity(instance).openRequests -= 1 },
     recordBytes: (instance) => {
-      findActivity(instance).idleSince = clock.now()
+      getActivity(instance).idleSince = clock.now()
       recordZoneReached(instance)
     },
     record,
     isSuspended: (instance) => isInstanceSuspended(instance) || isZoneSuspended(instance.availabilityZone),
     readIdleMs: (instance) => {
-      const activity = findActivity(instance)
+      const activity = getActivity(instance)
       return activity.openRequests > 0 ? clock.now() - activity.idleSince : 0
     },
     compareWith: (peers) => {
-      let medianCondition: Pick<InstanceHealthState, 'errorShare' | 'slowness'> | undefined
+      let medianState: Pick<InstanceHealthState, 'errorShare' | 'slowness'> | undefined
       return (instance) => {
-        const condition = readCondition(instance)
-        if (condition.slowness < TOLERATED_SLOWNESS && condition.errorShare < TOLERATED_ERROR_SHARE) return 1
-        medianCondition ??= computeMedianCondition(peers)
-        const relative = condition.slowness / medianCondition.slowness
+        const state = readState(instance)
+        if (state.slowness < TOLERATED_SLOWNESS && state.errorShare < TOLERATED_ERROR_SHARE) return 1
+        medianState ??= computeMedianState(peers)
+        const relative = state.slowness / medianState.slowness
         const slowness = relative < TOLERATED_SLOWNESS ? 1 : relative
-        const errors = Math.max(0, condition.errorShare - medianCondition.errorShare - TOLERATED_ERROR_SHARE)
+        const errors = Math.max(0, state.errorShare - medianState.errorShare - TOLERATED_ERROR_SHARE)
         return slowness + ERROR_WEIGHT * errors
       }
     },
     retain: (live) => {
-      for (const key of conditions.keys()) if (!live.has(key)) conditions.delete(key)
+      for (const key of states.keys()) if (!live.has(key)) states.delete(key)
       for (const [key, activity] of activities) if (!live.has(key) && activity.openRequests === 0) activities.delete(key)
       for (const key of awaitingProbe.keys()) if (!live.has(key)) awaitingProbe.delete(key)
       for (const { unreachableAt } of zones.values()) for (const key of unreachableAt.keys()) if (!live.has(key)) unreachableAt.delete(key)
--- a/src/services/instanceRegistry/index.ts
+++ b/src/services/instanceRegistry/index.ts
@@ -31,11 +31,11 @@
   /** Applies a peer's list or changes, which are as of `revision` of the source; the peer last reached the source `ageMs` milliseconds ago. */
   readonly applyPeerUpdate: (update: InstanceUpdate, revision: number, ageMs: number) => void
   /** Returns the changes since the position that a peer holds; empty when it holds no usable position and has the same revision. */
-  readonly listChangesSince: (position: ChangePosition | undefined, revision: number) => InstanceUpdate
+  readonly createPeerUpdate: (position: ChangePosition | undefined, revision: number) => InstanceUpdate
   readonly position: () => ChangePosition
   readonly isSourceReachable: () => boolean
   /** Registers a listener that is called when the source cannot be read. */
-  readonly onNeed: (listener: () => void) => void
+  readonly onPeersNeeded: (listener: () => void) => void
 }
 
 /** Servers whose entries expired in an outage of the source register again within two seconds of its end; after that time a missing one is removed. In milliseconds. */
@@ -217,7 +217,7 @@
       for (const entry of entries) put(entry, 'peer')
       publish()
     },
-    listChangesSince: (position, knownRevision) => {
+    createPeerUpdate: (position, knownRevision) => {
       const names = changes.listSince(position)
       const isWhole = names === undefined && knownRevision < revision
       // A server whose entry is missing stays in the list for a moment; it must not be reported to peers as present.
@@ -227,7 +227,7 @@
     },
     position: changes.position,
     isSourceReachable: follower.isReachable,
-    onNeed: follower.onPeersNeeded,
+    onPeersNeeded: follower.onPeersNeeded,
     start: follower.start,
     stop: follower.stop
   }
--- a/src/services/instanceRegistry/test.ts
+++ b/src/services/instanceRegistry/test.ts
@@ -5,29 +5,29 @@
 import { failure, success } from '../../kernel/index.js'
 import type { BackendInstance, InstanceUpdate, InstanceSource, Logger } from '../../types/index.js'
 
-const SILENT: Logger = { error: () => {}, warn: () => {}, info: () => {}, debug: () => {} }
+const SILENT_LOGGER: Logger = { error: () => {}, warn: () => {}, info: () => {}, debug: () => {} }
 
 const createServer = (id: string, changes: Partial<BackendInstance> = {}): BackendInstance =>
   ({ id, service: 'engines', address: { host: id, port: 1 }, availabilityZone: 'a', slots: 8, isLeaving: false, incarnation: 1, warmUpMs: 0, ...changes })
 
-const createNews = (changes: Partial<InstanceUpdate>): InstanceUpdate =>
+const createUpdate = (changes: Partial<InstanceUpdate>): InstanceUpdate =>
   ({ isWhole: false, instances: [], removed: [], position: { origin: 1, sequence: 1 }, ...changes })
 
 /** A source with one list that can change or become unavailable. */
 const createSource = (clock: ReturnType<typeof createManualClock>) => {
   let servers: readonly BackendInstance[] = []
   let revision = 1
-  let isAway = false
+  let isUnavailable = false
   const wait = (ms: number): Promise<void> => new Promise((resolve) => { clock.setTimer(ms, resolve) })
   const source: InstanceSource = {
     list: async () => {
       await wait(5)
-      if (isAway) return failure({ kind: 'unavailable', message: 'away' })
+      if (isUnavailable) return failure({ kind: 'unavailable', message: 'away' })
       return success({ entries: servers.map((instance) => ({ name: instance.id, instance })), revision })
     },
     watch: async () => {
       await wait(100)
-      return isAway ? failure({ kind: 'unavailable', message: 'away' }) : success({ changes: [], revision })
+      return isUnavailable ? failure({ kind: 'unavailable', message: 'away' }) : success({ changes: [], revision })
     }
   }
   return {
@@ -36,7 +36,7 @@
       servers = next
       revision += 1
     },
-    setAway: (next: boolean) => { isAway = next }
+    setUnavailable: (next: boolean) => { isUnavailable = next }
   }
 }
 
@@ -44,7 +44,7 @@
   const clock = createManualClock()
   const remote = createSource(clock)
   remote.put([createServer('engine-1'), createServer('engine-2')])
-  const registry = createInstanceRegistry({ clock, source: remote.source, logger: SILENT }, { watchWaitMs: 100, drainMs: 2_000 })
+  const registry = createInstanceRegistry({ clock, source: remote.source, logger: SILENT_LOGGER }, { watchWaitMs: 100, drainMs: 2_000 })
   await registry.start?.()
   await clock.advanceAndSettle(50)
   return { clock, remote, registry }
@@ -56,22 +56,22 @@
   // A peer with a stale list added a server again that had been removed, after its drain time.
   test('of an older revision does not add a removed server again', async () => {
     const { registry } = await startRegistry()
-    registry.applyPeerUpdate(createNews({ removed: ['engine-2'] }), 10, 0)
-    registry.applyPeerUpdate(createNews({ instances: [createServer('engine-2')] }), 9, 0)
+    registry.applyPeerUpdate(createUpdate({ removed: ['engine-2'] }), 10, 0)
+    registry.applyPeerUpdate(createUpdate({ instances: [createServer('engine-2')] }), 9, 0)
     expect(listIds(registry)).toEqual(['engine-1'])
   })
 
   test('of a newer revision adds it again', async () => {
     const { registry } = await startRegistry()
-    registry.applyPeerUpdate(createNews({ removed: ['engine-2'] }), 10, 0)
-    registry.applyPeerUpdate(createNews({ instances: [createServer('engine-2')] }), 11, 0)
+    registry.applyPeerUpdate(createUpdate({ removed: ['engine-2'] }), 10, 0)
+    registry.applyPeerUpdate(createUpdate({ instances: [createServer('engine-2')] }), 11, 0)
     expect(listIds(registry)).toEqual(['engine-1', 'engine-2'])
   })
 
   test('with a newer incarnation adds it again, however old the revision', async () => {
     const { registry } = await startRegistry()
-    registry.applyPeerUpdate(createNews({ removed: ['engine-2'] }), 10, 0)
-    registry.applyPeerUpdate(createNews({ instances: [createServer('engine-2', { incarnation: 2 })] }), 9, 0)
+    registry.applyPeerUpdate(createUpdate({ removed: ['engine-2'] }), 10, 0)
+    registry.applyPeerUpdate(createUpdate({ instances: [createServer('engine-2', { incarnation: 2 })] }), 9, 0)
     expect(listIds(registry)).toEqual(['engine-1', 'engine-2'])
   })
 
@@ -79,14 +79,14 @@
   test('omits servers that are kept only until their entries may reappear', async () => {
     const { clock, remote, registry } = await startRegistry()
     const position = registry.position()
-    remote.setAway(true)
+    remote.setUnavailable(true)
     await clock.advanceAndSettle(500)
-    registry.applyPeerUpdate(createNews({ instances: [createServer('engine-2', { slots: 9 })] }), 2, 0)
+    registry.applyPeerUpdate(createUpdate({ instances: [createServer('engine-2', { slots: 9 })] }), 2, 0)
     remote.put([createServer('engine-1')])
-    remote.setAway(false)
+    remote.setUnavailable(false)
     await clock.advanceAndSettle(500)
     expect(listIds(registry)).toEqual(['engine-1', 'engine-2'])
-    expect(registry.listChangesSince(position, 0).instances.map(({ id }) => id)).toEqual([])
+    expect(registry.createPeerUpdate(position, 0).instances.map(({ id }) => id)).toEqual([])
     await clock.advanceAndSettle(2_500)
     expect(listIds(registry)).toEqual(['engine-1'])
   })
@@ -96,7 +96,7 @@
   // Half of the servers that leave only remove their entry and still serve for a while.
   test('can be copied from for its drain time', async () => {
     const { clock, registry } = await startRegistry()
-    registry.applyPeerUpdate(createNews({ removed: ['engine-2'] }), 10, 0)
+    registry.applyPeerUpdate(createUpdate({ removed: ['engine-2'] }), 10, 0)
     expect(registry.api.recentlyRemoved().map(({ id }) => id)).toEqual(['engine-2'])
     await clock.advanceAndSettle(2_100)
     expect(registry.api.recentlyRemoved()).toEqual([])
--- a/src/services/knowledgeExchange/index.ts
+++ b/src/services/knowledgeExchange/index.ts
@@ -98,7 +98,7 @@
     if (!result.ok || result.value.kind !== 'knowledge') return
     const { version, ageMs, configuration: update, revision, instances } = result.value
     if (result.value.zoneDrains !== undefined) zoneDrains?.applyPeerUpdate(result.value.zoneDrains, ageMs)
-    configuration.learn(sentAt, ageMs, version, update)
+    configuration.applyPeerUpdate(sentAt, ageMs, version, update)
     if (isReader() && registry.isSourceReachable()) return
     registry.applyPeerUpdate(instances, revision, ageMs)
     positions.set(peer.nodeId, instances.position)
@@ -117,16 +117,16 @@
 
   const queryReader = (): void => {
     timer = clock.setTimer(options.queryIntervalMs, queryReader)
-    const { own, queried: asked } = findReaders()
-    if (asked.length === 0 || own.some(isSelf)) return
+    const { own, queried } = findReaders()
+    if (queried.length === 0 || own.some(isSelf)) return
     turn += 1
-    const reader = asked[turn % asked.length]
+    const reader = queried[turn % queried.length]
     if (reader !== undefined) queryPeer(reader)
   }
 
   /** Every message carries all drains: they are few, and a node that misses one would send requests to a drained zone. */
   const collectDrains = (): { readonly zoneDrains?: ZoneDrainSnapshot } => {
-    const snapshot = zoneDrains?.readPeerUpdate()
+    const snapshot = zoneDrains?.createPeerUpdate()
     return snapshot === undefined ? {} : { zoneDrains: snapshot }
   }
 
@@ -176,13 +176,13 @@
     api: { queryPeers, isReader },
     start: () => {
       transport.handle('knowledgeRequest', ({ version, configurationRevision, revision, since }) => {
-        const update = configuration.updateSince(version, configurationRevision)
+        const update = configuration.createPeerUpdate(version, configurationRevision)
         return {
           kind: 'knowledge',
           version: configuration.api.version(),
           ageMs: configuration.api.confirmedAgeMs(),
           revision: registry.api.revision(),
-          instances: registry.listChangesSince(since, revision),
+          instances: registry.createPeerUpdate(since, revision),
           ...collectDrains(),
           ...(update === undefined ? {} : { configuration: update })
         }
@@ -193,8 +193,8 @@
       })
       exchange.addListener(({ member }) => handleHeartbeat(member))
       configuration.onPeersNeeded(queryPeers)
-      registry.onNeed(queryPeers)
-      zoneDrains?.onNeed(queryPeers)
+      registry.onPeersNeeded(queryPeers)
+      zoneDrains?.onPeersNeeded(queryPeers)
       configuration.api.onChange(scheduleAnnouncement)
       registry.api.onChange(scheduleAnnouncement)
       zoneDrains?.api.onChange(scheduleAnnouncement)
--- a/src/services/promptDirectory/_lib/createDirectoryRecovery.test.ts
+++ b/src/services/promptDirectory/_lib/createDirectoryRecovery.test.ts
@@ -29,7 +29,7 @@
   const nodes = members.map((self, index) => {
     const transport = network.createTransport(self.address)
     const known = new Set<string>(index < restarted ? [] : engines.map(formatInstanceKey))
-    const recordAll = (kept: readonly CachedParts[]): void => { for (const { server } of kept) known.add(server) }
+    const recordAll = (cachedParts: readonly CachedParts[]): void => { for (const { server } of cachedParts) known.add(server) }
     const recovery = createDirectoryRecovery({
       clock,
       transport,
@@ -41,7 +41,7 @@
         logger: SILENT_LOGGER,
         random: { next: () => (seed = (seed + 0.37) % 1), nextId: () => 'id' },
         registry: { all: () => engines },
-        memory: {
+        promptCacheSource: {
           list: async ({ id }) => {
             lists.set(id, (lists.get(id) ?? 0) + 1)
             await new Promise<void>((resolve) => { clock.setTimer(ANSWER_MS, resolve) })
@@ -63,7 +63,7 @@
     nodes,
     engines,
     start: () => { for (const [index, { recovery }] of nodes.entries()) if (index < restarted) recovery.start() },
-    countLists: () => [...lists.values()].reduce((sum, count) => sum + count, 0),
+    countCacheReads: () => [...lists.values()].reduce((sum, count) => sum + count, 0),
     readMaximumLists: () => Math.max(0, ...lists.values())
   }
 }
@@ -82,7 +82,7 @@
     const fleet = createFleet({ nodesPerZone: 3, enginesPerZone: 6, restarted: 1 })
     fleet.start()
     await fleet.clock.advanceAndSettle(3_000)
-    expect(fleet.countLists()).toBe(0)
+    expect(fleet.countCacheReads()).toBe(0)
     expect(fleet.nodes[0]!.known.size).toBe(12)
     expect(fleet.nodes[0]!.recovery.isWhole()).toBe(true)
   })
--- a/src/services/promptDirectory/_lib/createDirectoryRecovery.ts
+++ b/src/services/promptDirectory/_lib/createDirectoryRecovery.ts
@@ -19,7 +19,7 @@
   /** Whether the list of engines has been read; `onEnginesChange` registers a listener for changes of this state. */
   readonly areEnginesKnown: () => boolean
   readonly onEnginesChange: (listener: () => void) => void
-  readonly memory: PromptCacheSource
+  readonly promptCacheSource: PromptCacheSource
   readonly availabilityZone: string
   /** Whether a backend server is a model engine and so has a prompt cache. */
   readonly isEngine: (instance: BackendInstance) => boolean
@@ -31,7 +31,7 @@
   readonly membership: Pick<Membership, 'liveMembers' | 'self'>
   readonly recovery: DirectoryRecoverySources
   readonly hasLocations: (instanceKey: string) => boolean
-  readonly recordAll: (kept: readonly CachedParts[]) => void
+  readonly recordAll: (cachedParts: readonly CachedParts[]) => void
   /** Announces a location to peers. */
   readonly announce: (part: string, instanceKey: string) => void
 }
@@ -67,7 +67,7 @@
   const shuffle = <Item>(items: readonly Item[]): readonly Item[] =>
     items.map((item) => ({ item, order: random.next() })).sort((left, right) => left.order - right.order).map(({ item }) => item)
 
-  const listPeers = (): readonly Member[] => {
+  const shufflePeers = (): readonly Member[] => {
     const self = membership.self().nodeId
     return shuffle(membership.liveMembers().filter(({ nodeId }) => nodeId !== self))
   }
@@ -81,7 +81,7 @@
   }
 
   const queryEngine = async (instance: BackendInstance): Promise<void> => {
-    const result = await recovery.memory.list(instance)
+    const result = await recovery.promptCacheSource.list(instance)
     if (!result.ok) {
       logger.warn('prompt places not learnt', { backendServer: instance.id, reason: describeSourceError(result.error) })
       return
@@ -124,13 +124,13 @@
   const run = async (): Promise<void> => {
     await waitForEngines()
     await wait(clock, PEER_DISCOVERY_DELAY_MS)
-    const peer = listPeers().find((member) => member.availabilityZone === availabilityZone)
+    const peer = shufflePeers().find((member) => member.availabilityZone === availabilityZone)
     if (peer !== undefined) await queryPeer(peer)
     if (!isWhole) await queryAssignedEngines()
     for (const listener of listeners) listener()
     if (!isWhole) await wait(clock, REMAINING_ENGINES_DELAY_MS)
     // A random peer adds the locations that nodes of other zones announced before they knew this node.
-    const [other] = listPeers()
+    const [other] = shufflePeers()
     if (other !== undefined && listEnginesWithoutLocations().length > 0) await queryPeer(other)
     if (!isWhole) await queryRemainingEngines()
     isWhole = true
--- a/src/services/promptDirectory/test.ts
+++ b/src/services/promptDirectory/test.ts
@@ -24,19 +24,19 @@
   })
   const readCachedTokens = (): readonly number[] => nodes.map(({ api }) => api.listCachedTokens(PARTS).get(SERVER) ?? 0)
   const countMessages = (): number => nodes.reduce((sum, { transport }) => sum + transport.messagesSent(), 0)
-  return { clock, nodes, readKept: readCachedTokens, countMessages }
+  return { clock, nodes, readCachedTokens, countMessages }
 }
 
 describe.each([['few', 5], ['many', 40]])('in a fleet of %s nodes', (_name, size) => {
   test('all nodes learn the locations of the shared parts, and only of these', async () => {
-    const { clock, nodes, readKept: readCachedTokens } = createFleet(size)
+    const { clock, nodes, readCachedTokens } = createFleet(size)
     nodes[3]!.api.record(PARTS, SERVER)
     await clock.advanceAndSettle(ANNOUNCED_MS)
     expect(readCachedTokens()).toEqual(nodes.map((_, index) => index === 3 ? 1400 : 1200))
   })
 
   test('a location in steady use stays known', async () => {
-    const { clock, nodes, readKept: readCachedTokens } = createFleet(size)
+    const { clock, nodes, readCachedTokens } = createFleet(size)
     for (let second = 0; second < 120; second++) {
       nodes[0]!.api.record(PARTS, SERVER)
       await clock.advanceAndSettle(1_000)
@@ -45,7 +45,7 @@
   })
 
   test('a location that is no longer used expires', async () => {
-    const { clock, nodes, readKept: readCachedTokens } = createFleet(size)
+    const { clock, nodes, readCachedTokens } = createFleet(size)
     nodes[0]!.api.record(PARTS, SERVER)
     await clock.advanceAndSettle(61_000)
     expect(new Set(readCachedTokens())).toEqual(new Set([0]))
--- a/src/services/warmUpLimiter/index.ts
+++ b/src/services/warmUpLimiter/index.ts
@@ -102,10 +102,10 @@
       isLimitReached: (instance) => {
         const warmUp = findWarmUp(instance)
         if (warmUp === undefined || remainingMs(instance) <= 0) return false
-        const { nodes, requestsPerNode: requestsEach } = computeWarmUpShares({ ...options, requestsPerSecond: warmUp.requestsPerSecond })
+        const { nodes, requestsPerNode } = computeWarmUpShares({ ...options, requestsPerSecond: warmUp.requestsPerSecond })
         const key = formatInstanceKey(instance)
         if (nodes === 0 || !isSettled() || !isResponsible(key, nodes)) return true
-        return listSends(key).length >= requestsEach
+        return listSends(key).length >= requestsPerNode
       },
       recordSend: (instance) => {
         if (remainingMs(instance) > 0) listSends(formatInstanceKey(instance)).push(clock.now())
--- a/src/services/warmUpLimiter/test.ts
+++ b/src/services/warmUpLimiter/test.ts
@@ -12,7 +12,7 @@
 const WARM_UP_MS = 3_000
 /** By then every node has been up long enough to use its share. */
 const SETTLED_MS = 5_000
-const PLAYED_MS = 8_000
+const SIMULATED_MS = 8_000
 const STEP_MS = 20
 
 const createMember = (index: number): Member =>
@@ -51,14 +51,14 @@
 }
 
 /** Returns the maximum of sends in any one second and the mean rate, while nodes freeze for a while and resume with all their requests. */
-const playFleet = (size: number, seed: number, view: View): { readonly most: number, readonly perSecond: number } => {
+const simulateFleet = (size: number, seed: number, view: View): { readonly most: number, readonly perSecond: number } => {
   const random = createSeededRandom(seed).next
   const clock = createManualClock()
   const members = Array.from({ length: size }, (_, index) => createMember(index))
   const nodes = members.map((self) => ({ warmUp: createNode({ clock, self, members: view(members, self, random) }), frozenUntil: 0 }))
   const sends: number[] = []
   clock.advance(SETTLED_MS)
-  while (clock.now() < SETTLED_MS + PLAYED_MS) {
+  while (clock.now() < SETTLED_MS + SIMULATED_MS) {
     clock.advance(STEP_MS)
     for (const node of nodes) {
       if (random() < 0.002) node.frozenUntil = clock.now() + 3_000 * random()
@@ -68,18 +68,18 @@
     }
   }
   const most = Math.max(0, ...sends.map((from) => sends.filter((at) => at >= from && at < from + 1_000).length))
-  return { most, perSecond: sends.length / (PLAYED_MS / 1_000) }
+  return { most, perSecond: sends.length / (SIMULATED_MS / 1_000) }
 }
 
 // Load pattern: many prompts are placed on a recently started server by rendezvous hashing; when every node sends at once, it crashes.
 describe.each(Object.entries(VIEWS))('where %s', (_name, view) => {
   test.each([3, 9, 70, 200, 360])('%i nodes stay within the bound of a warming server', (size) => {
-    for (const seed of [1, 2, 3]) expect(playFleet(size, seed, view).most).toBeLessThanOrEqual(BOUND)
+    for (const seed of [1, 2, 3]) expect(simulateFleet(size, seed, view).most).toBeLessThanOrEqual(BOUND)
   })
 })
 
 test('a fleet of any size uses most of the rate of a warming server', () => {
-  for (const size of [9, 70, 360]) expect(playFleet(size, 5, VIEWS['all know all']!).perSecond).toBeGreaterThan(0.5 * RATE)
+  for (const size of [9, 70, 360]) expect(simulateFleet(size, 5, VIEWS['all know all']!).perSecond).toBeGreaterThan(0.5 * RATE)
 })
 
 describe('a node', () => {
--- a/src/services/zoneDrains/index.ts
+++ b/src/services/zoneDrains/index.ts
@@ -26,9 +26,9 @@
   /** Applies the drains that a peer sent; the peer last reached the source `ageMs` milliseconds ago, `undefined` when that is unknown. */
   readonly applyPeerUpdate: (update: ZoneDrainSnapshot, ageMs?: number) => void
   /** Returns the drains to send to peers; `undefined` before the first reading. */
-  readonly readPeerUpdate: () => ZoneDrainSnapshot | undefined
+  readonly createPeerUpdate: () => ZoneDrainSnapshot | undefined
   /** Registers a listener that is called when the source cannot be read. */
-  readonly onNeed: (listener: () => void) => void
+  readonly onPeersNeeded: (listener: () => void) => void
 }
 
 /**
@@ -120,8 +120,8 @@
       if (ageMs !== undefined) follower.recordRelay(ageMs)
       if (!isKnown || update.revision > revision) replaceAll(update, 'peer')
     },
-    readPeerUpdate: () => isKnown ? { revision, zones: [...drained] } : undefined,
-    onNeed: follower.onPeersNeeded,
+    createPeerUpdate: () => isKnown ? { revision, zones: [...drained] } : undefined,
+    onPeersNeeded: follower.onPeersNeeded,
     start: follower.start,
     stop: follower.stop
   }
--- a/src/services/zoneDrains/test.ts
+++ b/src/services/zoneDrains/test.ts
@@ -9,21 +9,21 @@
   const lines: (LogFields & { readonly message: string })[] = []
   const write = (message: string, fields: LogFields = {}): void => { if (areLogsKept) lines.push({ message, ...fields }) }
   const logger: Logger = { error: write, warn: write, info: write, debug: write }
-  let news = initial
+  let snapshot = initial
   let changes: readonly ZoneDrainChange[] = []
-  let isAway = false
+  let isUnavailable = false
   const wait = (ms: number): Promise<void> => new Promise((resolve) => { clock.setTimer(ms, resolve) })
   const source: ZoneDrainSource = {
     list: async () => {
       await wait(5)
-      return isAway ? failure({ kind: 'unavailable', message: 'away' }) : success(news)
+      return isUnavailable ? failure({ kind: 'unavailable', message: 'away' }) : success(snapshot)
     },
     watch: async () => {
       await wait(100)
-      if (isAway) return failure({ kind: 'unavailable', message: 'away' })
-      const told = changes
+      if (isUnavailable) return failure({ kind: 'unavailable', message: 'away' })
+      const reported = changes
       changes = []
-      return success({ changes: told, revision: news.revision })
+      return success({ changes: reported, revision: snapshot.revision })
     }
   }
   const drains = createZoneDrains({ clock, source, logger }, { watchWaitMs: 100, isZone: (name) => name.startsWith('zone-') })
@@ -35,9 +35,9 @@
     lines,
     change: (next: readonly ZoneDrainChange[], revision: number) => {
       changes = next
-      news = { revision, zones: next.filter(({ isEnded }) => !isEnded).map(({ zone }) => zone) }
+      snapshot = { revision, zones: next.filter(({ isEnded }) => !isEnded).map(({ zone }) => zone) }
     },
-    setAway: (next: boolean) => { isAway = next }
+    setUnavailable: (next: boolean) => { isUnavailable = next }
   }
 }
 
@@ -60,15 +60,15 @@
 
   // Otherwise a node that can't reach the store would send requests to a drained zone.
   test('keeps a drain while the source is unavailable', async () => {
-    const { clock, drains, setAway } = await start({ revision: 10, zones: ['zone-a'] })
-    setAway(true)
+    const { clock, drains, setUnavailable } = await start({ revision: 10, zones: ['zone-a'] })
+    setUnavailable(true)
     await clock.advanceAndSettle(10_000)
     expect(drains.api.isDrained('zone-a')).toBe(true)
   })
 
   test('applies a drain from a peer while the source is unavailable', async () => {
-    const { clock, drains, setAway } = await start()
-    setAway(true)
+    const { clock, drains, setUnavailable } = await start()
+    setUnavailable(true)
     await clock.advanceAndSettle(500)
     drains.applyPeerUpdate({ revision: 12, zones: ['zone-b'] }, 300)
     expect(drains.api.isDrained('zone-b')).toBe(true)
--- a/src/types/gateway.ts
+++ b/src/types/gateway.ts
@@ -198,7 +198,7 @@
 /** Writes the final answer to the caller. Nothing may be written after `end`, `fail` or `refuse`. */
 export type CallerSink = {
   readonly refuse: (refusal: GatewayRefusal) => void
-  readonly whole: (answer: InstanceAnswer, body: Uint8Array) => void
+  readonly complete: (answer: InstanceAnswer, body: Uint8Array) => void
   readonly head: (answer: InstanceAnswer) => void
   /** Returns false when the caller reads more slowly than the answer arrives (backpressure). */
   readonly data: (bytes: Uint8Array) => boolean
