--- a/src/services/dispatch/_lib/relayEvents.ts
+++ b/src/services/dispatch/_lib/relayEvents.ts
@@ -21,7 +21,7 @@
 const CLOSING_TIMEOUT_MS = 1_000
 
 /** `idle`: no data within the idle timeout, which also happens on a busy model engine. */
-type ConnectionEnd = 'whole' | 'cut' | 'idle' | 'callerLeft'
+type ConnectionEnd = 'complete' | 'cut' | 'idle' | 'callerLeft'
 
 /** What has been forwarded so far, over all connections of the stream. */
 type StreamProgress = {
@@ -29,7 +29,7 @@
   usage: TokenUsage | undefined
   /** Milliseconds since the start of the request. */
   lastEventAt: number | undefined
-  isWhole: boolean
+  isComplete: boolean
   /** The stream so far, where a duplicate request may need it; dropped when it exceeds the buffer limit. */
   buffered: Uint8Array[] | undefined
   bufferedBytes: number
@@ -57,7 +57,7 @@
 }
 
 const startProgress = (context: RequestContext): StreamProgress =>
-  ({ position: { lastId: 0 }, usage: undefined, lastEventAt: undefined, isWhole: false, buffered: isIdempotent(context) ? undefined : [], bufferedBytes: 0 })
+  ({ position: { lastId: 0 }, usage: undefined, lastEventAt: undefined, isComplete: false, buffered: isIdempotent(context) ? undefined : [], bufferedBytes: 0 })
 
 const deliver = (headers: Headers, status: number, { usage, buffered }: StreamProgress): AttemptEnd => ({
   kind: 'delivered',
@@ -86,11 +86,11 @@
   bufferEvent(context, progress, bytes)
   const isCallerReading = await reply.sendData(bytes, scope.signal)
   if (!isCallerReading) return 'callerLeft'
-  return event.data === END_MARKER ? 'whole' : undefined
+  return event.data === END_MARKER ? 'complete' : undefined
 }
 
-const classifyConnectionEnd = ({ isWhole }: StreamProgress, part: Exclude<BackendBodyPart, { kind: 'data' }>): ConnectionEnd => {
-  if (isWhole) return 'whole'
+const classifyConnectionEnd = ({ isComplete }: StreamProgress, part: Exclude<BackendBodyPart, { kind: 'data' }>): ConnectionEnd => {
+  if (isComplete) return 'complete'
   return part.kind === 'cut' && part.isIdle === true ? 'idle' : 'cut'
 }
 
@@ -100,12 +100,12 @@
   const parser = createParser({ onEvent: (event) => { events.push(event) }, maxBufferSize: MAXIMUM_EVENT_CHARACTERS })
   for await (const part of answer.body) {
     if (part.kind !== 'data') return classifyConnectionEnd(progress, part)
-    if (progress.isWhole) continue
+    if (progress.isComplete) continue
     parser.feed(decoder.decode(part.bytes, { stream: true }))
     for (const event of events.splice(0)) {
       const end = await forwardEvent(context, headers, answer.status, progress, event)
-      if (end === 'whole') {
-        progress.isWhole = true
+      if (end === 'complete') {
+        progress.isComplete = true
         context.reply.endStream()
         context.dependencies.clock.setTimer(CLOSING_TIMEOUT_MS, answer.abort)
         break
@@ -113,7 +113,7 @@
       if (end !== undefined) return end
     }
   }
-  return progress.isWhole ? 'whole' : 'cut'
+  return progress.isComplete ? 'complete' : 'cut'
 }
 
 type Resumed = { readonly answer: BackendAnswer, readonly resumes: number }
@@ -143,7 +143,7 @@
   while (current !== undefined) {
     const before = progress.position.lastId
     const end = await relayConnection(context, headers, current.answer, progress)
-    if (end === 'whole') return deliver(headers, first.status, progress)
+    if (end === 'complete') return deliver(headers, first.status, progress)
     if (end === 'callerLeft') return { kind: 'callerLeft', attempt: createFailedAttempt('written', 'answerStarted', 'cancelled') }
     const hasProgressed = progress.position.lastId > before
     const resumesWithoutProgress = hasProgressed ? 0 : current.resumes
--- a/src/services/forwarding/test.ts
+++ b/src/services/forwarding/test.ts
@@ -43,7 +43,7 @@
 
 const MEMBER: Member = { nodeId: 'node-1', incarnation: 1, address: { host: 'node-1', port: 1 }, availabilityZone: 'a', state: 'live', generation: 1 }
 
-/** A recently started node, without configuration and server list until `learn`. */
+/** A recently started node, without configuration and server list until `provideInitialState`. */
 const startNode = () => {
   const clock = createManualClock()
   const sent: string[] = []
@@ -104,9 +104,9 @@
     beginShutdown: forwarding.api.beginShutdown,
     call: (requestId: string, path: string, bodyAfterMs = 0): void => {
       const request: GatewayRequest = { requestId, method: 'GET', host: 'shop.example', target: path, headers: [], credential: undefined, callerTimeoutMs: TIMEOUT_MS, lastEventId: undefined, promptParts: [], tokens: { prompt: 0, output: 1_000 }, receivedAt: clock.now() }
-      const run = forwarding.api.begin(request, sink)
-      if (bodyAfterMs === 0) run.submit(new Uint8Array())
-      else clock.setTimer(bodyAfterMs, () => run.submit(new Uint8Array()))
+      const forwarded = forwarding.api.begin(request, sink)
+      if (bodyAfterMs === 0) forwarded.submit(new Uint8Array())
+      else clock.setTimer(bodyAfterMs, () => forwarded.submit(new Uint8Array()))
     },
     provideInitialState: (): void => {
       isKnown = true
@@ -157,7 +157,7 @@
     expect([node.sent, node.answers]).toEqual([sent, answers])
   })
 
-  /** Breaks off a stream after its first event, `leftMs` before the end of the node. */
+  /** Breaks off a stream after its first event, `remainingMs` before the end of the node. */
   const breakStream = async (remainingMs: number) => {
     const node = startNode()
     node.provideInitialState()
