--- a/src/adapters/instanceHttp/test.ts
+++ b/src/adapters/instanceHttp/test.ts
@@ -29,7 +29,7 @@
   const sockets: Socket[] = []
   const server: Server = createServer((socket) => {
     sockets.push(socket)
-    socket.on('error', () => { /* the client breaks off */ })
+    socket.on('error', () => { /* the client aborts */ })
     socket.on('data', onRequest)
   })
   closing.push(() => {
--- a/src/services/dispatch/_lib/relayEvents.ts
+++ b/src/services/dispatch/_lib/relayEvents.ts
@@ -118,7 +118,7 @@
 
 type Resumed = { readonly answer: BackendAnswer, readonly resumes: number }
 
-/** Resumes the stream. Resumes without a new event count towards the limit; `made` is the number of those so far. */
+/** Resumes the stream. Resumes without a new event count towards the limit; `resumesWithoutProgress` is their number so far. */
 const resume = async (context: RequestContext, planner: RetryPlanner, backendServer: BackendServer, progress: StreamProgress, resumesWithoutProgress: number): Promise<Resumed | undefined> => {
   const { dependencies, scope, reply } = context
   const cut = createFailedAttempt('written', 'answerStarted', 'cut')
--- a/src/services/forwarding/_lib/createAnswerIntake.test.ts
+++ b/src/services/forwarding/_lib/createAnswerIntake.test.ts
@@ -67,7 +67,7 @@
     expect(seen).toEqual(['head', 'id: 1\ndata: a'])
   })
 
-  // Once the head of a stream is sent, a server that dies before the first event leaves no choice but to break off.
+  // Once the head of a stream is sent, a server that dies before the first event leaves no choice but to abort the answer.
   test('sends no head when the stream breaks before its first event', () => {
     const { caller, seen, take, end } = createIntake(createAnswer())
     take('id: 1\ndata: half')
--- a/src/services/forwarding/_lib/createCallerAnswer.ts
+++ b/src/services/forwarding/_lib/createCallerAnswer.ts
@@ -7,7 +7,7 @@
 import type { CallerSink, Exchange, GatewayRefusal, InstanceAnswer } from '../../../types/index.js'
 
 export type CallerAnswer = {
-  /** Whether the head was sent to the caller; from then on the answer can only continue or be broken off. */
+  /** Whether the head was sent to the caller; from then on the answer can only continue or be aborted. */
   readonly hasBegun: () => boolean
   readonly relay: EventRelay
   readonly begin: (answer: InstanceAnswer) => void
