--- a/src/services/fleetLoad/index.ts
+++ b/src/services/fleetLoad/index.ts
@@ -107,7 +107,7 @@
 
   const isSelf = (member: Member | undefined): boolean => member?.nodeId === membership.self().nodeId
 
-  const findStore = (scope: 'node' | 'zone', group: string): SnapshotStore => {
+  const getStore = (scope: 'node' | 'zone', group: string): SnapshotStore => {
     const known = stores[scope].get(group)
     if (known !== undefined) return known
     const store = createSnapshotStore(maximumAgeMs)
@@ -147,12 +147,12 @@
   }
 
   const publishZoneSum = (group: string): void => {
-    const snapshot = createSnapshot('zone', readOwnZone(), group, findStore('node', group).sum(clock.now()))
+    const snapshot = createSnapshot('zone', readOwnZone(), group, getStore('node', group).sum(clock.now()))
     for (const routerZone of zoneRanking.zones()) deliver(zoneRanking.rank(routerZone, group)[0], snapshot)
   }
 
   const publishFleetSum = (group: string): void => {
-    applySnapshot(createSnapshot('fleet', readOwnZone(), group, findStore('zone', group).sum(clock.now())))
+    applySnapshot(createSnapshot('fleet', readOwnZone(), group, getStore('zone', group).sum(clock.now())))
   }
 
   /** Publishes the sums that were not published early in this period. */
@@ -161,7 +161,7 @@
   }
 
   const publishEarly = (scope: 'node' | 'zone', group: string, sources: number, publish: (group: string) => void): void => {
-    if (findStore(scope, group).countNewSources() < sources || !isActive() || !isSelf(zoneRanking.rank(readOwnZone(), group)[0])) return
+    if (getStore(scope, group).countNewSources() < sources || !isActive() || !isSelf(zoneRanking.rank(readOwnZone(), group)[0])) return
     publishedEarly[scope].add(group)
     publish(group)
   }
@@ -187,11 +187,11 @@
 
   const snapshotHandlers: Readonly<Record<LoadSnapshot['scope'], (snapshot: LoadSnapshot) => void>> = {
     node: (snapshot) => {
-      findStore('node', snapshot.group).put(snapshot, clock.now())
+      getStore('node', snapshot.group).put(snapshot, clock.now())
       publishEarly('node', snapshot.group, zoneRanking.rank(readOwnZone(), snapshot.group).length, publishZoneSum)
     },
     zone: (snapshot) => {
-      findStore('zone', snapshot.group).put(snapshot, clock.now())
+      getStore('zone', snapshot.group).put(snapshot, clock.now())
       publishEarly('zone', snapshot.group, zoneRanking.zones().length, publishFleetSum)
     },
     fleet: applyFleetTotal
--- a/src/services/forwarding/_lib/createStreamDurations.ts
+++ b/src/services/forwarding/_lib/createStreamDurations.ts
@@ -41,7 +41,7 @@
     }
   }
 
-  const listEntries = (route: string): Set<Entry> => {
+  const getEntries = (route: string): Set<Entry> => {
     const known = byRoute.get(route)
     if (known !== undefined) return known
     const created = new Set<Entry>()
@@ -51,7 +51,7 @@
 
   return {
     begin: (route, at) => {
-      const entries = listEntries(route)
+      const entries = getEntries(route)
       const entry: Entry = { beganAt: at, endedAt: undefined }
       entries.add(entry)
       dropOldest(entries, at)
--- a/src/services/loadView/index.ts
+++ b/src/services/loadView/index.ts
@@ -78,7 +78,7 @@
 
   const readOwnCount = (backendServer: string): number => own.get(backendServer) ?? 0
 
-  const findHash = (backendServer: string): string => {
+  const getHash = (backendServer: string): string => {
     const known = hashes.get(backendServer)
     if (known !== undefined) return known
     const hash = formatServerHash(backendServer)
@@ -90,11 +90,11 @@
   const isInLargeFleet = (): boolean => fleetLoad?.isActive() === true
 
   const readPeerCount = (backendServer: string): number =>
-    isInLargeFleet() ? fleetLoad!.readOthers(backendServer) : peerCounts.sum(findHash(backendServer))
+    isInLargeFleet() ? fleetLoad!.readOthers(backendServer) : peerCounts.sum(getHash(backendServer))
 
   const readKnownCount = (backendServer: string): number => readOwnCount(backendServer) + readPeerCount(backendServer)
 
-  const findRecentMaximum = (backendServer: string): RecentMaximum => {
+  const getRecentMaximum = (backendServer: string): RecentMaximum => {
     const known = recentMaxima.get(backendServer)
     if (known !== undefined) return known
     const created = createRecentMaximum(windowMs)
@@ -102,7 +102,7 @@
     return created
   }
 
-  const recordKnownCount = (backendServer: string): void => findRecentMaximum(backendServer).record(readKnownCount(backendServer), clock.now())
+  const recordKnownCount = (backendServer: string): void => getRecentMaximum(backendServer).record(readKnownCount(backendServer), clock.now())
 
   const peerCounts = createPeerCounts((hash) => {
     const backendServer = names.get(hash)
@@ -137,7 +137,7 @@
     const now = clock.now()
     // The report is older than the window of the maximum: requests that have ended since would count as excess.
     if (report.ageMs > windowMs) return
-    const requests = Math.max(0, report.running + report.waiting - findRecentMaximum(backendServer).read(now))
+    const requests = Math.max(0, report.running + report.waiting - getRecentMaximum(backendServer).read(now))
     if (requests === 0) excesses.delete(backendServer)
     else excesses.set(backendServer, { requests, peerSum: readPeerCount(backendServer), until: now + EXCESS_LIFETIME_INTERVALS * settings.loadReportIntervalMs })
     scheduleBroadcast()
