--- a/src/adapters/gatewayHttp/index.ts
+++ b/src/adapters/gatewayHttp/index.ts
@@ -110,12 +110,12 @@
       responseWriter.refuse(decoded.error)
       return
     }
-    const forwarded = forwarding.begin(decoded.value, responseWriter)
-    response.on('close', () => { if (!response.writableFinished) forwarded.cancel() })
+    const run = forwarding.begin(decoded.value, responseWriter)
+    response.on('close', () => { if (!response.writableFinished) run.cancel() })
     readBody(message, limits().maximumBodyBytes, {
-      onBody: (body) => pauseDetector.runWhenCaughtUp(() => forwarded.submit(body)),
-      onTooLarge: () => forwarded.reject({ status: 413, reason: 'bodyTooLarge' }),
-      onBroken: forwarded.cancel
+      onBody: (body) => pauseDetector.runWhenCaughtUp(() => run.submit(body)),
+      onTooLarge: () => run.reject({ status: 413, reason: 'bodyTooLarge' }),
+      onBroken: run.cancel
     })
   }
 
--- a/src/services/forwarding/test.ts
+++ b/src/services/forwarding/test.ts
@@ -104,9 +104,9 @@
     beginShutdown: forwarding.api.beginShutdown,
     call: (requestId: string, path: string, bodyAfterMs = 0): void => {
       const request: GatewayRequest = { requestId, method: 'GET', host: 'shop.example', target: path, headers: [], credential: undefined, callerTimeoutMs: TIMEOUT_MS, lastEventId: undefined, promptParts: [], tokens: { prompt: 0, output: 1_000 }, receivedAt: clock.now() }
-      const forwarded = forwarding.api.begin(request, sink)
-      if (bodyAfterMs === 0) forwarded.submit(new Uint8Array())
-      else clock.setTimer(bodyAfterMs, () => forwarded.submit(new Uint8Array()))
+      const run = forwarding.api.begin(request, sink)
+      if (bodyAfterMs === 0) run.submit(new Uint8Array())
+      else clock.setTimer(bodyAfterMs, () => run.submit(new Uint8Array()))
     },
     provideInitialState: (): void => {
       isKnown = true
