--- a/src/adapters/instanceHttp/test.ts
+++ b/src/adapters/instanceHttp/test.ts
@@ -29,7 +29,7 @@
   const sockets: Socket[] = []
   const server: Server = createServer((socket) => {
     sockets.push(socket)
-    socket.on('error', () => { /* the client breaks off */ })
+    socket.on('error', () => { /* the client aborts */ })
     socket.on('data', onRequest)
   })
   closing.push(() => {
@@ -65,7 +65,7 @@
     const onConnected = (message: unknown): void => { sockets.push((message as { readonly socket: Socket }).socket) }
     subscribe(CONNECTED, onConnected)
     closing.push(() => { unsubscribe(CONNECTED, onConnected) })
-    const port = await startSilentServer(() => sockets[0]?.destroy(Object.assign(new Error('the way is lost'), { code })))
+    const port = await startSilentServer(() => sockets[0]?.destroy(Object.assign(new Error('the route to the server is lost'), { code })))
     expect((await sendAndFail(createClient(), port)).kind).toBe('broken')
   })
 
--- a/src/services/forwarding/_lib/createAnswerIntake.test.ts
+++ b/src/services/forwarding/_lib/createAnswerIntake.test.ts
@@ -35,7 +35,7 @@
   const seen: string[] = []
   const sink: CallerSink = {
     refuse: () => { seen.push('refuse') },
-    whole: (_answer, body) => { seen.push(`whole ${body.length}`) },
+    complete: (_answer, body) => { seen.push(`whole ${body.length}`) },
     head: () => { seen.push('head') },
     data: (bytes) => {
       seen.push(Buffer.from(bytes).toString('utf8').trim())
@@ -54,8 +54,8 @@
     onComplete: caller.sendComplete,
     onStreamEnd: caller.end
   })
-  intake.takeHead(answer)
-  return { caller, seen, take: (text: string) => intake.takeData(Buffer.from(text), undefined), end: intake.takeEnd }
+  intake.handleHead(answer)
+  return { caller, seen, take: (text: string) => intake.handleData(Buffer.from(text), undefined), end: intake.handleEnd }
 }
 
 describe('createAnswerIntake', () => {
@@ -67,7 +67,7 @@
     expect(seen).toEqual(['head', 'id: 1\ndata: a'])
   })
 
-  // Once the head of a stream is sent, a server that dies before the first event leaves no choice but to break off.
+  // Once the head of a stream is sent, a server that dies before the first event leaves no choice but to abort the answer.
   test('sends no head when the stream breaks before its first event', () => {
     const { caller, seen, take, end } = createIntake(createAnswer())
     take('id: 1\ndata: half')
--- a/src/services/forwarding/_lib/createTokenPace.ts
+++ b/src/services/forwarding/_lib/createTokenPace.ts
@@ -1,9 +1,9 @@
-/** Tracks the recent time a token of each service's streams, to estimate how long a new stream will take. */
+/** Tracks the recent time per token in each service's streams, to estimate how long a new stream will take. */
 
 export type TokenPace = {
   /** Records a successful stream: its maximum number of tokens, and the milliseconds from its first bytes to its end. */
   readonly record: (service: string, tokens: number, milliseconds: number) => void
-  /** Milliseconds a token, estimated on the high side; `undefined` before the first stream. */
+  /** Milliseconds per token, estimated on the high side; `undefined` before the first stream. */
   readonly read: (service: string) => number | undefined
 }
 
@@ -18,9 +18,9 @@
   return {
     record: (service, tokens, milliseconds) => {
       if (tokens < MINIMUM_TOKENS) return
-      const tokenMs = milliseconds / tokens
-      const pace = paces.get(service) ?? tokenMs
-      paces.set(service, Math.max(tokenMs, pace + FASTER_WEIGHT * (tokenMs - pace)))
+      const tokenIntervalMs = milliseconds / tokens
+      const pace = paces.get(service) ?? tokenIntervalMs
+      paces.set(service, Math.max(tokenIntervalMs, pace + FASTER_WEIGHT * (tokenIntervalMs - pace)))
     },
     read: (service) => paces.get(service)
   }
