--- a/test/_lib/callRouter.ts
+++ b/test/_lib/callRouter.ts
@@ -1,4 +1,4 @@
-/** Requests as callers make them, and all that a caller can see of the answer. */
+/** Sends requests of each kind to a router and collects what a caller sees of the answer. */
 import { CALLER_KEY, MODEL } from './createDispatchHarness.js'
 
 export type RequestKind = 'chatStream' | 'chatWhole' | 'stock' | 'order' | 'settlement'
--- a/test/_lib/createClaimNodes.ts
+++ b/test/_lib/createClaimNodes.ts
@@ -1,4 +1,4 @@
-/** Nodes with a claims service each, over one platform in memory and a direct peer transport. */
+/** Creates nodes that each run the claims service, over one in-memory platform and an in-process peer transport. */
 import { createSeededRandom } from '../../src/adapters/seededRandom/index.js'
 import { createManualClock } from '../../src/emulator/createManualClock/index.js'
 import { createMemoryPlatform } from '../../src/emulator/createMemoryPlatform/index.js'
@@ -21,9 +21,9 @@
   readonly nodes: readonly ClaimNode[]
   /** The store itself, without faults. */
   readonly platform: Platform
-  /** Creates a node without memory in a former one's place. */
+  /** Replaces a node by one with the same id and empty memory, as a process restart does. */
   readonly restart: (nodeId: string) => ClaimNode
-  /** Lets time and promises go on until the promise settles. */
+  /** Advances the clock by 1 ms at a time and drains the event loop until the promise settles. */
   readonly settle: <Value>(promise: Promise<Value>) => Promise<Value>
   readonly run: (ms: number) => Promise<void>
 }
@@ -105,7 +105,7 @@
     const note = (): void => { progress.isSettled = true }
     promise.then(note, note)
     for (let passed = 0; !progress.isSettled && passed < MAXIMUM_SETTLE_MS; passed += 1) await run(1)
-    if (!progress.isSettled) throw new Error('the promise does not settle')
+    if (!progress.isSettled) throw new Error('promise did not settle within 20 s of manual clock time')
     return await promise
   }
 
--- a/test/_lib/createConfigurationFleet.ts
+++ b/test/_lib/createConfigurationFleet.ts
@@ -1,7 +1,7 @@
 /**
- * Several configuration holders over one platform and a network in memory. In
- * place of the membership service each node sees the others' generation every
- * half second, unless the link between them is cut.
+ * Creates several configuration holders over one in-memory platform and network.
+ * A simplified gossip replaces the membership service: every 500 ms each node
+ * receives the generation of all other nodes whose link to it is not cut.
  */
 import { createSeededRandom } from '../../src/adapters/seededRandom/index.js'
 import { createManualClock } from '../../src/emulator/createManualClock/index.js'
@@ -20,7 +20,7 @@
   readonly holder: () => ConfigurationHolder
   readonly platform: FaultyPlatform
   readonly start: () => void
-  /** Forgets everything, as a VM that was replaced; `start` brings it back. */
+  /** Stops the node and discards its memory, as when its VM is replaced; `start` starts it again. */
   readonly stop: () => void
   readonly member: () => Member
   readonly see: (member: Member) => void
@@ -34,7 +34,7 @@
   readonly generations: () => readonly number[]
   readonly cut: (one: FleetNode, other: FleetNode) => void
   readonly heal: () => void
-  /** Puts older bytes back as the root, as a restore from a backup does. */
+  /** Overwrites the root object with older bytes, as a restore from a backup does. */
   readonly overwriteRoot: (bytes: Uint8Array) => Promise<void>
   readonly readRootBytes: () => Promise<Uint8Array>
 }
@@ -105,7 +105,7 @@
 
   const readRootBytes = async (): Promise<Uint8Array> => {
     const found = await platform.readObject('configuration/root')
-    if (!found.ok || found.value === undefined) throw new Error('the platform has no root')
+    if (!found.ok || found.value === undefined) throw new Error('object configuration/root not found on the platform')
     return found.value.bytes
   }
 
@@ -148,7 +148,7 @@
 
 export const applyWeight = async (fleet: ConfigurationFleet, weight: number, against: number): Promise<void> => {
   const outcome = await fleet.operator.apply(createSheet(weight), against)
-  if (outcome.kind !== 'applied') throw new Error(`the sheet was not applied: ${outcome.kind}`)
+  if (outcome.kind !== 'applied') throw new Error(`sheet apply failed: ${outcome.kind}`)
 }
 
 export const cutOff = (fleet: ConfigurationFleet, node: FleetNode): void => {
--- a/test/_lib/createDispatchHarness.ts
+++ b/test/_lib/createDispatchHarness.ts
@@ -1,6 +1,6 @@
 /**
- * Dispatch between a real listener for callers and a real client for backend
- * servers, with small fakes for the services that it asks.
+ * Runs dispatch with the real caller listener and the real backend HTTP client;
+ * the services it depends on are replaced by fakes that record their calls.
  */
 import { createHash } from 'node:crypto'
 import { createBackendHttp } from '../../src/adapters/backendHttp/index.js'
@@ -46,7 +46,7 @@
   }
 }
 
-/** What the fakes saw. */
+/** Calls that the fakes recorded. */
 export type Recorded = {
   readonly started: string[]
   readonly ended: string[]
@@ -67,9 +67,9 @@
   readonly claimOutcome?: ClaimOutcome
   readonly admissionRefusal?: AdmissionRefusal
   readonly directoryEntry?: string
-  /** Backend servers that the load probes have lost. */
+  /** Backend servers that no longer answer load probes. */
   readonly unreachable?: readonly string[]
-  /** In place of the real client. */
+  /** Replaces the real backend HTTP client. */
   readonly backendClient?: BackendClient
 }
 
@@ -125,7 +125,7 @@
   }
 })
 
-/** Dispatch with its fakes alone, without a listener. */
+/** Creates dispatch with its fakes, without a caller listener. */
 export const createTestDispatch = (options: HarnessOptions): TestDispatch => {
   const configuration = 'configuration' in options ? options.configuration : createConfiguration(options.origins)
   const recorded: Recorded = { started: [], ended: [], outcomes: [], marked: [], released: [], completed: [], stored: [], hints: [], finishedTickets: 0 }
--- a/test/_lib/createFaultProxy.test.ts
+++ b/test/_lib/createFaultProxy.test.ts
@@ -35,15 +35,15 @@
 
   const readBody = async (): Promise<string> => await (await fetch(proxy.url)).text()
 
-  it.each<[name: string, fault: LinkFault]>([['without a fault', { kind: 'none' }], ['late', { kind: 'delay', ms: 5 }]])('passes an answer on, %s', async (_name, fault) => {
+  it.each<[name: string, fault: LinkFault]>([['without a fault', { kind: 'none' }], ['with a delay', { kind: 'delay', ms: 5 }]])('forwards an answer %s', async (_name, fault) => {
     proxy.setFault(fault)
     expect(await readBody()).toBe(BODY)
   })
 
   it.each<[name: string, fault: LinkFault, arrivals: number]>([
-    ['refuses', { kind: 'refuse' }, 0],
-    ['cuts a request short', { kind: 'cutAfter', direction: 'toServer', bytes: 10 }, 0],
-    ['cuts an answer short', { kind: 'cutAfter', direction: 'toClient', bytes: 500 }, 1]
+    ['refuses connections', { kind: 'refuse' }, 0],
+    ['resets the connection in the middle of a request', { kind: 'cutAfter', direction: 'toServer', bytes: 10 }, 0],
+    ['resets the connection in the middle of an answer', { kind: 'cutAfter', direction: 'toClient', bytes: 500 }, 1]
   ])('%s', async (_name, fault, arrivals) => {
     proxy.setFault(fault)
     await expect(readBody()).rejects.toThrow()
@@ -51,12 +51,12 @@
   })
 
   it.each<[name: string, fault: LinkFault, arrivals: number]>([
-    ['holds everything back', { kind: 'blackhole' }, 0],
-    ['holds only the answers back', { kind: 'holdDirection', direction: 'toClient' }, 1]
+    ['holds back data in both directions', { kind: 'blackhole' }, 0],
+    ['holds back only data to the client', { kind: 'holdDirection', direction: 'toClient' }, 1]
   ])('%s until the link heals', async (_name, fault, arrivals) => {
     proxy.setFault(fault)
     const body = readBody()
-    await waitFor('the request', () => proxy.connections() > 0 && echo.received.length === arrivals)
+    await waitFor('the request to reach the proxy', () => proxy.connections() > 0 && echo.received.length === arrivals)
     expect(await Promise.race([body, Promise.resolve('held')])).toBe('held')
     proxy.setFault({ kind: 'none' })
     expect(await body).toBe(BODY)
--- a/test/_lib/createFaultProxy.ts
+++ b/test/_lib/createFaultProxy.ts
@@ -1,30 +1,30 @@
-/** A TCP proxy on loopback that does to its connections what networks and dying machines do. */
+/** Runs a TCP proxy on loopback that injects faults of networks and failing hosts into its connections. */
 import { connect, createServer } from 'node:net'
 import type { AddressInfo, Socket } from 'node:net'
 
 export type LinkFault =
   | { readonly kind: 'none' }
-  /** Closes new connections at once with a reset, and cuts the open ones. */
+  /** Resets new connections at once, and all open ones. */
   | { readonly kind: 'refuse' }
-  /** Accepts and holds everything back until another fault is set, as a cut link does to open connections. */
+  /** Accepts connections but holds back all data until another fault is set, as a network partition does to open connections. */
   | { readonly kind: 'blackhole' }
-  /** Holds each piece of data back for so many milliseconds each way. */
+  /** Delays each chunk by `ms` milliseconds in both directions. */
   | { readonly kind: 'delay', readonly ms: number }
-  /** Resets a connection after so many bytes towards the client, or towards the server. */
+  /** Resets a connection after `bytes` bytes in the given direction. */
   | { readonly kind: 'cutAfter', readonly direction: 'toClient' | 'toServer', readonly bytes: number }
-  /** Holds back what goes one way; the other way works. */
+  /** Holds back the data of one direction; the other direction works. */
   | { readonly kind: 'holdDirection', readonly direction: 'toClient' | 'toServer' }
 
 export type FaultProxy = {
   readonly port: number
   readonly address: string
   readonly url: string
-  /** Sets the fault of connections old and new. */
+  /** Sets the fault of open and new connections. */
   readonly setFault: (fault: LinkFault) => void
-  /** Resets every open connection, once. */
+  /** Resets all connections that are open now. */
   readonly resetAll: () => void
   readonly connections: () => number
-  /** Changes where new connections go, when the target was started anew or after the proxy. */
+  /** Changes the target port of new connections, for a target that was restarted or is started after the proxy. */
   readonly setTarget: (port: number) => void
   readonly close: () => Promise<void>
 }
@@ -64,10 +64,10 @@
 }
 
 /**
- * Starts a proxy before a loopback port.
+ * Starts a proxy in front of a loopback port.
  *
- * @param firstTargetPort - Port that connections are passed on to; 0 while there is none yet.
- * @returns The proxy, without a fault.
+ * @param firstTargetPort - Port that connections are forwarded to; 0 while there is none yet.
+ * @returns The running proxy, with no fault set.
  */
 export const createFaultProxy = async (firstTargetPort: number): Promise<FaultProxy> => {
   let fault: LinkFault = { kind: 'none' }
--- a/test/_lib/createFaultyPlatform.ts
+++ b/test/_lib/createFaultyPlatform.ts
@@ -1,26 +1,26 @@
-/** A platform seen over a bad link: calls refused, replies lost, writes that arrive late, callers paused. */
+/** Wraps a platform and injects faults into its calls: refused calls, lost replies, late writes, paused callers. */
 import { failure } from '../../src/kernel/index.js'
 import type { Platform, PlatformError, Result } from '../../src/types/index.js'
 
 export type CallFault =
   | 'none'
-  /** Refused; surely without effect. */
+  /** The call is refused and has no effect. */
   | 'refused'
-  /** The call takes effect, its reply is lost. */
+  /** The call takes effect, but its reply is lost. */
   | 'replyLost'
-  /** The caller is told that the outcome is unknown; the call takes effect when `deliverLate` is called. */
+  /** The caller gets an unknown outcome; the call takes effect when `deliverLate` is called. */
   | 'late'
-  /** The call waits until `resume`, then goes on as if nothing had happened. */
+  /** The call waits until `resume` is called, then proceeds normally. */
   | 'paused'
 
 export type FaultyPlatform = Platform & {
-  /** Chooses the fault of each call from now on; may do something first, such as another operator's write. */
+  /** Sets the function that selects the fault of each later call; it may act first, such as to write as another operator. */
   readonly setFault: (choose: (call: string, name: string) => CallFault | Promise<CallFault>) => void
   readonly resume: () => void
   readonly deliverLate: () => Promise<void>
   /** Calls that wait for `resume`. */
   readonly pausedCalls: () => number
-  /** The kind of every call so far, in order. */
+  /** Kinds of all calls so far, in order. */
   readonly calls: () => readonly string[]
 }
 
--- a/test/_lib/createOperator.ts
+++ b/test/_lib/createOperator.ts
@@ -1,4 +1,4 @@
-/** One operator with a store of their own over a platform. */
+/** Creates an operator who applies sheets through a configuration store of their own. */
 import { createSeededRandom } from '../../src/adapters/seededRandom/index.js'
 import { computeSha256 } from '../../src/kernel/index.js'
 import { createAuditTrail, type AuditTrail } from '../../src/services/auditTrail/index.js'
@@ -8,7 +8,7 @@
 export type Operator = {
   readonly store: ConfigurationStore
   readonly auditTrail: AuditTrail
-  /** Applies under the operator's name; the apply id is `<name>-<number>` unless given. */
+  /** Applies a sheet in the operator's name; the apply id defaults to `<name>-<number>`. */
   readonly apply: (sheet: Sheet, plannedAgainst: number, options?: { readonly applyId?: string, readonly fleetGeneration?: number }) => Promise<ApplyOutcome>
 }
 
@@ -26,7 +26,7 @@
   }
 }
 
-/** A clock whose timers run at once, for retries whose waiting is not the matter. */
+/** Creates a clock whose timers fire at once, for tests of retries that do not depend on the delay. */
 export const createHastyClock = (): Clock => ({
   now: () => 0,
   wallTime: () => 1_700_000_000_000,
--- a/test/_lib/createRawBackend.ts
+++ b/test/_lib/createRawBackend.ts
@@ -1,5 +1,5 @@
 /**
- * A backend server made of a bare TCP listener, so that a test can break an
+ * Runs a backend server on a bare TCP listener, so that a test can break an
  * answer at any byte. Each request runs the next step of a script.
  */
 import { createServer, type AddressInfo, type Socket } from 'node:net'
@@ -15,7 +15,7 @@
 
 export type RawBackend = {
   readonly url: string
-  /** Requests whose headers and body arrived whole. */
+  /** Requests whose headers and body arrived completely. */
   readonly requests: readonly RawRequest[]
   readonly close: () => Promise<void>
 }
@@ -33,7 +33,7 @@
   return { request: { method, path, headers, body: text.slice(headerEnd + HEADER_END.length, size) }, size }
 }
 
-/** The last step goes on for all later requests. */
+/** Starts the server; the last step also handles all later requests. */
 export const createRawBackend = async (...steps: readonly RawStep[]): Promise<RawBackend> => {
   const requests: RawRequest[] = []
   const sockets = new Set<Socket>()
@@ -67,7 +67,7 @@
   }
 }
 
-/** An origin at which nothing listens. */
+/** Returns an origin whose port no process listens on. */
 export const findClosedOrigin = async (): Promise<string> => {
   const backend = await createRawBackend()
   await backend.close()
@@ -85,12 +85,12 @@
 
 const formatChunk = (text: string): string => `${Buffer.byteLength(text).toString(16)}\r\n${text}\r\n`
 
-/** A whole answer with its length. */
+/** Sends a complete answer with its content-length. */
 export const answerWhole = (body: string, headers: Readonly<Record<string, string>> = {}, status = 200): RawStep => (socket, request) => {
   socket.write(formatHead(request, status, { 'content-type': 'application/json', 'content-length': String(Buffer.byteLength(body)), ...headers }) + body)
 }
 
-/** Writes the text as it is, then ends the connection in the middle of things. */
+/** Writes the text as given and closes the connection before the answer is complete. */
 export const answerThenCut = (headers: Readonly<Record<string, string>>, body: string): RawStep => (socket, request) => {
   socket.end(formatHead(request, 200, headers) + body)
 }
@@ -106,17 +106,17 @@
 
 const STREAM_HEADERS = { 'content-type': 'text/event-stream', 'transfer-encoding': 'chunked' }
 
-/** Events in a chunked body with its proper end. */
+/** Sends events in a chunked body that ends with the last chunk. */
 export const answerEvents = (events: readonly string[], headers: Readonly<Record<string, string>> = {}): RawStep => (socket, request) => {
   socket.write(formatHead(request, 200, { ...STREAM_HEADERS, ...headers }) + events.map(formatChunk).join('') + '0\r\n\r\n')
 }
 
-/** Events in a chunked body whose connection ends before the last chunk. */
+/** Sends events in a chunked body and closes the connection before the last chunk. */
 export const answerEventsThenCut = (events: readonly string[]): RawStep => (socket, request) => {
   socket.end(formatHead(request, 200, STREAM_HEADERS) + events.map(formatChunk).join(''))
 }
 
-/** Events in a chunked body that stays open. */
+/** Sends events in a chunked body and leaves the connection open. */
 export const answerEventsThenWait = (events: readonly string[]): RawStep => (socket, request) => {
   socket.write(formatHead(request, 200, STREAM_HEADERS) + events.map(formatChunk).join(''))
 }
--- a/test/_lib/createSheet.ts
+++ b/test/_lib/createSheet.ts
@@ -1,4 +1,4 @@
-/** Small sound sheets that differ by one weight. */
+/** Creates small valid sheets that differ in the weight of the first client account. */
 import { computeSha256 } from '../../src/kernel/index.js'
 import type { Sheet } from '../../src/types/index.js'
 
--- a/test/_lib/runOperatorCommand.ts
+++ b/test/_lib/runOperatorCommand.ts
@@ -1,4 +1,4 @@
-/** Commands of an operator against a running fleet, as processes of their own. */
+/** Runs operator commands as separate processes against a running fleet. */
 import type { Fleet } from './startFleet.js'
 import { runCommand } from './startProcess.js'
 import type { FinishedCommand } from './startProcess.js'
--- a/test/_lib/sendChat.ts
+++ b/test/_lib/sendChat.ts
@@ -1,4 +1,4 @@
-/** Chats as a caller sends them, with all that the caller can tell of the answer. */
+/** Sends chats as a caller and checks what the caller received against the journals of the engines. */
 import { composeAnswer } from '../../src/emulator/composeAnswer/index.js'
 import type { JournalEntry } from './startFleet.js'
 import { CALLER_KEY, MODEL } from './startFleet.js'
@@ -6,21 +6,21 @@
 export type ChatEnd = {
   readonly question: string
   readonly requestId: string | undefined
-  /** What the caller takes for the whole answer; `undefined` when it was told of an error. */
+  /** The text the caller accepts as the complete answer; `undefined` when it received an error. */
   readonly text: string | undefined
-  /** Of a refusal. */
+  /** Outcome that a refusal states. */
   readonly outcome: string | undefined
-  /** What the caller was told in place of an answer. */
+  /** Body of the error that the caller received instead of an answer. */
   readonly told: string
 }
 
 export type SentChat = {
-  /** Resolves when the first bytes of the answer are there, or it has ended. */
+  /** Resolves when the first bytes of the answer have arrived, or when it has ended. */
   readonly whenStarted: Promise<void>
   readonly whenEnded: Promise<ChatEnd>
 }
 
-/** Enough of a broken stream to show its error event. */
+/** Characters kept from the end of a broken stream: enough to show its error event. */
 const ERROR_LENGTH = 300
 const END_MARKER = 'data: [DONE]\n\n'
 
@@ -31,7 +31,7 @@
   .map((line) => JSON.parse(line.slice('data: '.length)).choices?.[0]?.delta?.content ?? '')
   .join('')
 
-/** A body that ended properly; without its end marker it is given as it is, so that it shows. */
+/** Reads the text of a body that ended without a connection error. A stream without its end marker is returned raw, so that the comparison fails. */
 const readText = (body: string, stream: boolean): string => {
   if (!stream) return JSON.parse(body).choices[0].message.content
   return body.endsWith(END_MARKER) ? readStreamedText(body) : body
@@ -54,12 +54,12 @@
 }
 
 /**
- * Sends one question as a chat of its own.
+ * Sends one question as a separate chat.
  *
  * @param caller - Origin of a router.
- * @param question - The one message; the stand-in's answer follows from it.
- * @param stream - Whether to ask for a stream.
- * @returns When the answer starts and how it ends.
+ * @param question - The only message; the stand-in derives its answer from it.
+ * @param stream - Whether to request a streamed answer.
+ * @returns Promises of the start and the end of the answer.
  */
 export const sendChat = (caller: string, question: string, stream: boolean): SentChat => {
   let start = (): void => {}
@@ -75,14 +75,14 @@
   return { whenStarted, whenEnded: ask().finally(start) }
 }
 
-/** Problems with what callers were told, by the stand-ins' answers and journals. */
+/** Lists wrong answers and false refusals, by comparing what callers received with the stand-ins' answers and journals. */
 export const judgeChats = (ends: readonly ChatEnd[], journal: readonly JournalEntry[]): readonly string[] => {
   const ran = new Set(journal.map(({ requestId }) => requestId))
   const wrong = ends
     .filter(({ question, text }) => text !== undefined && text !== composeAnswer(createMessages(question)).text)
-    .map(({ question }) => `${question}: what passed for the whole answer is not`)
+    .map(({ question }) => `${question}: the caller accepted a wrong or incomplete answer`)
   const falseRefusals = ends
     .filter(({ requestId, outcome }) => outcome === 'not-run' && requestId !== undefined && ran.has(requestId))
-    .map(({ question }) => `${question}: refused as not run, but ran`)
+    .map(({ question }) => `${question}: refused as not run, but the journal has the request`)
   return [...wrong, ...falseRefusals]
 }
--- a/test/_lib/sendOrder.ts
+++ b/test/_lib/sendOrder.ts
@@ -1,11 +1,11 @@
-/** Orders as a caller sends them, with what the caller was told in the end. */
+/** Sends orders and stock lookups as a caller and checks their outcomes against the journals of the services. */
 import { CALLER_KEY } from './startFleet.js'
 import type { Fleet, JournalEntry } from './startFleet.js'
 
 export type CallerEnd =
   | { readonly kind: 'answered', readonly status: number, readonly body: string }
   | { readonly kind: 'refused', readonly outcome: string, readonly reason: string, readonly status: number }
-  /** The connection broke, or the answer did not come. */
+  /** The connection broke, or no answer arrived within the time-out. */
   | { readonly kind: 'cut' }
 
 export type OrderEnd = { readonly key: string, readonly requestId: string | undefined, readonly end: CallerEnd }
@@ -32,10 +32,10 @@
 }
 
 /**
- * Sends one order and waits for its end.
+ * Sends one order and waits for its outcome.
  *
  * @param caller - Origin of a router.
- * @param key - Idempotency key; the body follows from it.
+ * @param key - Idempotency key; the body is derived from it.
  * @returns What the caller was told.
  */
 export const sendOrder = (caller: string, key: string): Promise<OrderEnd> => send(key, `${caller}/orders/${key}`, {
@@ -45,10 +45,10 @@
 })
 
 /**
- * Sends one stock lookup, which may be repeated, and waits for its end.
+ * Sends one stock lookup, which may be retried, and waits for its outcome.
  *
  * @param caller - Origin of a router.
- * @param name - What is looked up.
+ * @param name - Name of the article that is looked up.
  * @returns What the caller was told.
  */
 export const sendLookup = (caller: string, name: string): Promise<OrderEnd> =>
@@ -63,29 +63,29 @@
   }
 }
 
-/** Problems with what callers were told, by the journals of what ran. */
+/** Lists double runs, false refusals and wrong answers, by comparing what callers received with the journals of what ran. */
 export const judgeOrders = (ends: readonly OrderEnd[], journal: readonly JournalEntry[]): readonly string[] => {
   const runs = new Map<string, number>()
   for (const { idempotencyKey } of journal) if (idempotencyKey !== undefined) runs.set(idempotencyKey, (runs.get(idempotencyKey) ?? 0) + 1)
   const ranRequests = new Set(journal.map(({ requestId }) => requestId))
-  const doubled = [...runs].filter(([, count]) => count > 1).map(([key, count]) => `${key} ran ${count} times`)
+  const doubled = [...runs].filter(([, count]) => count > 1).map(([key, count]) => `${key} ran ${count} times instead of once`)
   const falseRefusals = ends
     .filter(({ requestId, end }) => end.kind === 'refused' && end.outcome === 'not-run' && requestId !== undefined && ranRequests.has(requestId))
-    .map(({ key }) => `${key} was refused as not run, but ran`)
+    .map(({ key }) => `${key} was refused as not run, but the journal has the request`)
   const answers = ends.filter(({ end }) => end.kind === 'answered' && end.status < 300)
   const falseAnswers = answers
     .filter(({ key, requestId }) => !runs.has(key) && (requestId === undefined || !ranRequests.has(requestId)))
-    .map(({ key }) => `${key} was answered, but never ran`)
+    .map(({ key }) => `${key} was answered, but no journal has the request`)
   const foreignAnswers = answers
     .filter(({ key, end }) => end.kind === 'answered' && !end.body.includes(key.replace('lookup ', '')))
-    .map(({ key }) => `${key} got somebody else's answer`)
+    .map(({ key }) => `${key} got the answer of another request`)
   const truncated = answers
     .filter(({ end }) => end.kind === 'answered' && !isWhole(end.body))
-    .map(({ key }) => `${key} got a part of its answer as if it were whole`)
+    .map(({ key }) => `${key} got a truncated answer marked as complete`)
   return [...doubled, ...falseRefusals, ...falseAnswers, ...foreignAnswers, ...truncated]
 }
 
-/** Sums that do not add up, of the routers that still run. */
+/** Lists the given routers whose ledger of accepted requests does not add up. */
 export const judgeLedgers = async (routers: Fleet['routers']): Promise<readonly string[]> => {
   const problems: string[] = []
   for (const router of routers) {
--- a/test/_lib/startFleet.test.ts
+++ b/test/_lib/startFleet.test.ts
@@ -7,8 +7,8 @@
 
 afterEach(async () => { await fleet?.stop() })
 
-// The port of a killed engine goes to another process, whose answer would pass for the engine's journal.
-test('no journal is read from a process that took the port of an ended one', async () => {
+// The port of a killed engine may be reused by another process, whose answer would be read as the engine's journal.
+test('readJournal rejects when its process has exited and another one has taken its port', async () => {
   fleet = await startFleet({ routers: 0, services: 1, engines: 0 })
   const [service] = fleet.services
   const { hostname, port } = new URL(String(service!.process.ready['control']))
--- a/test/_lib/startFleet.ts
+++ b/test/_lib/startFleet.ts
@@ -1,7 +1,7 @@
 /**
- * A whole deployment of real processes on loopback: the platform's stand-in,
- * plain services, model engines and routers, with every link between them
- * through a fault proxy of its own.
+ * Starts a complete deployment of real processes on loopback: the platform's
+ * stand-in, plain services, model engines and routers. Backend servers, and each
+ * router's platform and peer links, are reached through separate fault proxies.
  */
 import { createServer } from 'node:net'
 import type { AddressInfo } from 'node:net'
@@ -40,7 +40,7 @@
 export type FleetBackend = {
   readonly server: BackendServer
   readonly process: RunningProcess
-  /** The link of all routers to it. */
+  /** The link that all routers use to reach it. */
   readonly link: FaultProxy
   readonly setFault: (fault: Readonly<Record<string, unknown>>) => Promise<void>
   readonly clearFaults: () => Promise<void>
@@ -58,7 +58,7 @@
   readonly services: readonly FleetBackend[]
   readonly engines: readonly FleetBackend[]
   readonly platform: FleetPlatform
-  /** Puts a changed sheet in force as the next generation. */
+  /** Applies a changed sheet as the next generation. */
   readonly changeSheet: (change: (sheet: Sheet) => Sheet) => Promise<void>
   /** The journals of all plain services and engines. */
   readonly readJournals: () => Promise<readonly JournalEntry[]>
@@ -82,7 +82,7 @@
 const OPERATOR_TOKEN = 'operator token of the tests'
 const ENVIRONMENT = { DOTTERELSPOKE_FLEET_KEY: 'fleet key of the tests', DOTTERELSPOKE_OPERATOR_TOKEN: OPERATOR_TOKEN }
 
-/** Quick enough that a test does not wait long for a time-out. */
+/** Short time-outs, so that tests that wait for one stay fast. */
 const ROUTER_FLAGS = ['--caller-port', '0', '--operator-port', '0', '--platform-timeout-ms', '500', '--watch-timeout-ms', '2000', '--shutdown-delay-ms', '100', '--log-level', 'warn']
 
 const zoneOf = (index: number): string => ZONES[index % ZONES.length]!
@@ -100,7 +100,7 @@
     setFault: (fault: Readonly<Record<string, unknown>>) => post(`${control}/faults`, fault),
     clearFaults: async (): Promise<void> => { await fetch(`${control}/faults`, { method: 'DELETE' }) },
     readJournal: async (): Promise<readonly JournalEntry[]> => {
-      // Another process of a busy machine may have been given its port.
+      // Another process may have been given the port of a process that has ended.
       if (process.hasExited()) throw new Error(`the process behind ${control} has ended`)
       const response = await fetch(`${control}/journal`)
       if (!response.ok) throw new Error(`${control}/journal answered ${response.status}`)
@@ -110,7 +110,7 @@
   }
 }
 
-/** The router prints the port that peers dial, which is the proxy's; so its own has to be known beforehand. */
+/** The router prints the advertised peer port, which is the proxy's, so its own port is picked before the start. */
 const findFreePort = async (): Promise<number> => {
   const server = createServer()
   await new Promise<void>((resolve) => { server.listen(0, '127.0.0.1', resolve) })
@@ -122,9 +122,9 @@
 const MAXIMUM_PORT_TRIES = 5
 
 /**
- * Between the finding of a free port and the listening of the process, another
- * process of a busy machine may take the port: the start fails with EADDRINUSE
- * and is tried on another port. Any other failure is thrown on.
+ * Another process may take the free port before the started process listens on
+ * it. The start then fails with EADDRINUSE and is retried on another port; any
+ * other error is rethrown.
  */
 const startOnFreePort = async (start: (port: number) => Promise<RunningProcess>, tries = 1): Promise<RunningProcess> => {
   try {
@@ -135,7 +135,7 @@
   }
 }
 
-/** Notes a process to be ended with the fleet, from the moment it runs. */
+/** Registers a process to be killed when the fleet stops. */
 type Keep = <Item extends { readonly process: RunningProcess }>(item: Item) => Item
 
 const startBackend = async (kind: 'service' | 'engine', service: string, index: number, flags: readonly string[], keep: Keep): Promise<FleetBackend> => {
@@ -168,7 +168,7 @@
   const store = createConfigurationStore({ platform, auditTrail, clock, random, hashContent: computeSha256 })
   const outcome = await store.applySheet({ sheet, plannedAgainst, appliedBy: 'test', applyId: random.nextId(), action: 'sheet apply' })
   await platform.close()
-  if (outcome.kind !== 'applied') throw new Error(`the sheet was not applied: ${JSON.stringify(outcome)}`)
+  if (outcome.kind !== 'applied') throw new Error(`sheet apply failed: ${JSON.stringify(outcome)}`)
 }
 
 type RouterLinks = { readonly platformLink: FaultProxy, readonly peerLink: FaultProxy }
@@ -196,10 +196,10 @@
   status.backendServers.filter(({ state }) => state === 'live').length === backends
 
 /**
- * Starts a fleet and waits until every router serves and knows all others.
+ * Starts a fleet and waits until every router is ready and sees all routers and backend servers as live.
  *
- * @param options - How many of each, and further flags.
- * @returns The running fleet. Stop it, whatever the test's verdict.
+ * @param options - Number of processes of each kind, and additional flags.
+ * @returns The running fleet. The test must stop it whether it passes or fails.
  */
 export const startFleet = async (options: FleetOptions = {}): Promise<Fleet> => {
   const { routers: routerCount = 2, services: serviceCount = 1, engines: engineCount = 0 } = options
--- a/test/_lib/startProcess.ts
+++ b/test/_lib/startProcess.ts
@@ -1,2 +1,2 @@
-/** Processes for integration tests; the benches start theirs the same way. */
+/** Starts processes for integration tests, with the same helpers as the benchmarks. */
 export * from '../../src/bench/_lib/startProcess.js'
--- a/test/contract/peerTransport.test.ts
+++ b/test/contract/peerTransport.test.ts
@@ -1,4 +1,4 @@
-/** What every peer transport must do, run against the one on TCP and the one in memory. */
+/** Contract tests for peer transports, run against the TCP and the in-memory implementation. */
 import { afterEach, describe, expect, it } from 'vitest'
 import { createPeerTcp } from '../../src/adapters/peerTcp/index.js'
 import { createSystemClock } from '../../src/adapters/systemClock/index.js'
@@ -102,7 +102,7 @@
     expect(result).toEqual({ ok: false, error: { kind: 'timeout' } })
   })
 
-  it('reports a peer that is gone as unreachable', async () => {
+  it('reports a closed peer as unreachable', async () => {
     const { one, other } = await createPair()
     const address = other.address()
     await other.close()
@@ -110,7 +110,7 @@
     expect(result).toMatchObject({ ok: false, error: { kind: 'unreachable' } })
   })
 
-  it('counts the bytes sent by kind of message', async () => {
+  it('counts the sent bytes per message kind', async () => {
     const { one, other } = await createPair()
     other.handle('directoryLookup', () => ({ kind: 'directoryEntry' }))
     await one.request(other.address(), { kind: 'directoryLookup', chatKey: 'chat-1' }, TIMEOUT_MS)
--- a/test/engineFaults.test.ts
+++ b/test/engineFaults.test.ts
@@ -31,7 +31,7 @@
   .map((line) => JSON.parse(line.slice('data: '.length)).choices?.[0]?.delta?.content ?? '')
   .join('')
 
-/** What the caller takes for its answer; `undefined` when it sees an error. */
+/** Sends a chat and returns the text that the caller accepts as its answer; `undefined` when it receives an error. */
 const ask = async (url: string, chat: number, stream: boolean): Promise<string | undefined> => {
   try {
     const response = await fetch(`${url}/v1/chat/completions`, {
@@ -42,7 +42,7 @@
     const text = await response.text()
     if (response.status !== 200) return undefined
     if (!stream) return JSON.parse(text).choices[0].message.content
-    return text.endsWith('data: [DONE]\n\n') ? readStreamedText(text) : 'a stream that ended well without its end marker'
+    return text.endsWith('data: [DONE]\n\n') ? readStreamedText(text) : 'a stream that closed normally without its end marker'
   } catch {
     return undefined
   }
@@ -50,9 +50,9 @@
 
 describe('many chats on an engine that fails', () => {
   /*
-   * Twelve shopkeepers ask at once, and the engine breaks some of the answers.
-   * Each must get the whole answer to its own question or a plain error, never
-   * a part of it and never somebody else's.
+   * Twelve concurrent chats, some of whose answers the engine breaks. Guards against a
+   * caller that gets a truncated answer as complete or the answer of another request
+   * instead of a complete answer or an error.
    */
   it.each<[FaultOrder, boolean, 'all' | 'none']>([
     [{ fault: 'refuseConnections' }, true, 'all'],
@@ -84,8 +84,8 @@
 
 describe('many orders on a service that fails', () => {
   /*
-   * A refusal says "not run", the kitchen orders by telephone, and the van
-   * brings the pasta twice.
+   * An order that ran would be refused as not run. The caller would then place it
+   * again, and it would be executed twice.
    */
   it.each<[FaultOrder]>([
     [{ fault: 'refuseConnections' }],
@@ -95,7 +95,7 @@
     [{ fault: 'truncateAnswer', count: 5, after: 1 }],
     [{ fault: 'overloaded', count: 5 }],
     [{ fault: 'leaving' }]
-  ])('runs each at most once and says truly whether it ran: %j', async (fault) => {
+  ])('runs each at most once and reports correctly whether it ran: %j', async (fault) => {
     const services = await Promise.all([1, 2].map(() => createPlainServiceServer({ clock })))
     closers.push(...services.map(({ close }) => close))
     const harness = await createDispatchHarness({ origins: services.map(({ url }) => url) })
--- a/test/integration/answers.test.ts
+++ b/test/integration/answers.test.ts
@@ -1,6 +1,6 @@
 /**
- * Whether every caller gets the whole answer to its own question or is told
- * of an error, while engines and links fail under real processes.
+ * Tests with real processes that every caller gets the complete answer to its own
+ * request or an error, while engines and links fail.
  */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest'
 import { judgeChats, sendChat, type SentChat } from '../_lib/sendChat.js'
@@ -12,13 +12,13 @@
 
 type Case = {
   readonly name: string
-  /** Before the first question. */
+  /** Runs before the first request. */
   readonly before?: (engines: readonly FleetBackend[]) => Promise<void> | void
-  /** When every answer has started. */
+  /** Runs when every answer has started. */
   readonly amid?: (engines: readonly FleetBackend[]) => Promise<void> | void
-  /** Streams, unless false. */
+  /** Whether answers are streamed; default true. */
   readonly stream?: boolean
-  /** Whether some callers must be told of an error, since nothing can be done for them. */
+  /** Whether some callers may get an error, since their streams can't be resumed. */
   readonly loses?: boolean
 }
 
@@ -27,10 +27,10 @@
 }
 
 const cases: readonly Case[] = [
-  { name: 'nothing failing' },
-  { name: 'an engine killed before', before: ([first]) => first?.process.kill() },
+  { name: 'no fault' },
+  { name: 'an engine killed before the requests', before: ([first]) => first?.process.kill() },
   { name: 'an engine killed in mid-stream', amid: ([first]) => first?.process.kill(), loses: true },
-  { name: 'an engine frozen before, its connections open', before: ([first]) => first?.process.pause() },
+  { name: 'an engine frozen before the requests, with its connections open', before: ([first]) => first?.process.pause() },
   {
     name: 'an engine frozen in mid-stream for a while',
     amid: ([first]) => {
@@ -48,11 +48,11 @@
     }
   },
   { name: 'crossed answers', before: setFaults({ fault: 'crossedAnswer', count: 3 }) },
-  { name: 'crossed whole answers', before: setFaults({ fault: 'crossedAnswer', count: 3 }), stream: false },
+  { name: 'crossed non-streamed answers', before: setFaults({ fault: 'crossedAnswer', count: 3 }), stream: false },
   { name: 'late answers', before: setFaults({ fault: 'lateAnswer', on: true, ms: 700 }) },
-  { name: 'late whole answers', before: setFaults({ fault: 'lateAnswer', on: true, ms: 700 }), stream: false },
+  { name: 'late non-streamed answers', before: setFaults({ fault: 'lateAnswer', on: true, ms: 700 }), stream: false },
   { name: 'events sent twice', before: setFaults({ fault: 'duplicateEvent', on: true, after: 3 }) },
-  { name: 'streams that end well without their end', before: setFaults({ fault: 'truncateAnswer', count: 4, after: 5 }) }
+  { name: 'streams that close normally without their end marker', before: setFaults({ fault: 'truncateAnswer', count: 4, after: 5 }) }
 ]
 
 const isOpenNowhere = async (fleet: Fleet): Promise<boolean> => {
@@ -61,16 +61,16 @@
 }
 
 /*
- * A shopkeeper reads half an answer as the whole one, or the answer to a
- * rival's question: an engine died, froze, or mixed its connections up, and
- * something on the way took what there was for all there is.
+ * Guards against a truncated answer that is delivered as complete, and against an
+ * answer that belongs to another request: an engine dies, freezes or crosses its
+ * connections, and the router does not notice it.
  */
 describe('answers under faults', () => {
   let fleet: Fleet
   beforeEach(async () => { fleet = await startFleet({ routers: 2, services: 0, engines: 3, engineFlags: ['--decode-interval', '8'] }) })
   afterEach(async () => { await fleet.stop() })
 
-  it.each(cases)('are whole or an error with $name', async ({ before, amid, stream = true, loses = false }) => {
+  it.each(cases)('are complete or an error with $name', async ({ before, amid, stream = true, loses = false }) => {
     await before?.(fleet.engines)
     const chats = Array.from({ length: CHATS }, (_, index): SentChat => sendChat(fleet.routers[index % 2]!.caller, `question ${index}`, stream))
     if (amid !== undefined) {
@@ -79,7 +79,7 @@
     }
     const ends = await Promise.all(chats.map(({ whenEnded }) => whenEnded))
     await waitFor('all requests to end', () => isOpenNowhere(fleet))
-    // A frozen engine can't give its journal.
+    // A frozen engine can't return its journal.
     for (const engine of fleet.engines) engine.process.resume()
     const remaining = fleet.engines.filter(({ process }) => !process.hasExited())
     const journals = await Promise.all(remaining.map((engine) => engine.readJournal()))
--- a/test/integration/atMostOnce.test.ts
+++ b/test/integration/atMostOnce.test.ts
@@ -1,6 +1,6 @@
 /**
- * Orders that may not be repeated, through real routers, with the plain
- * service's journal as judge: at most one run of each key, whatever fails.
+ * Tests orders that may not be repeated, through real routers: by the plain service's
+ * journal each idempotency key runs at most once, whatever fails.
  */
 import { afterEach, describe, expect, it } from 'vitest'
 import { judgeLedgers, judgeOrders, sendOrder } from '../_lib/sendOrder.js'
@@ -9,15 +9,15 @@
 import type { Fleet } from '../_lib/startFleet.js'
 import { waitFor } from '../_lib/waitFor.js'
 
-/** Long enough that a test can act while an order runs. */
+/** Delays answers enough that a test can act while an order runs. */
 const SERVICE_FLAGS = ['--delay', '400']
 
 type Case = {
   readonly name: string
-  /** Brings the failure about and gives what callers were told, in order. */
+  /** Causes the failure and returns the outcomes that callers received, in order. */
   readonly run: (fleet: Fleet) => Promise<readonly OrderEnd[]>
   readonly expected: readonly (Partial<Record<'kind' | 'outcome' | 'reason', string>>)[]
-  /** Routers that are gone at the end. */
+  /** Routers that have been killed at the end. */
   readonly killed?: readonly number[]
 }
 
@@ -32,8 +32,8 @@
   for (const { platformLink } of fleet.routers) platformLink.setFault({ kind })
 }
 
-/** Repeats an order until it is not refused as not run any more. */
-const sendUntilTaken = (fleet: Fleet, router: number, key: string): Promise<OrderEnd> => waitFor(`${key} to be taken`, async () => {
+/** Sends an order again until it is no longer refused as not run. */
+const sendUntilTaken = (fleet: Fleet, router: number, key: string): Promise<OrderEnd> => waitFor(`${key} to be accepted`, async () => {
   const end = await sendOrder(callerOf(fleet, router), key)
   return end.end.kind === 'refused' && end.end.outcome === 'not-run' ? undefined : end
 })
@@ -44,20 +44,20 @@
 
 const cases: readonly Case[] = [
   {
-    // A chef presses "order" twice; the balancer sends the two to two routers.
-    name: 'runs an order once that reaches two routers at the same moment',
+    // A caller submits an order twice, and the load balancer sends the two requests to different routers.
+    name: 'runs an order once that reaches two routers at the same time',
     run: (fleet) => Promise.all([0, 1].map((router) => sendOrder(callerOf(fleet, router), 'order-twice'))),
     expected: []
   },
   {
-    name: 'gives a repeat the answer of the first run, at another router',
+    name: 'answers a duplicate request at another router with the answer of the first run',
     run: async (fleet) => [await sendOrder(callerOf(fleet, 0), 'order-again'), await sendOrder(callerOf(fleet, 1), 'order-again')],
     expected: [answered, answered]
   },
   {
-    // The router dies while the kitchen's order is being placed. The chef's
-    // page sends it again through another router, which cannot know.
-    name: 'does not repeat an order whose router was killed in the middle',
+    // The router is killed while the order runs. The caller retries through another
+    // router, which can't know whether the order ran.
+    name: 'does not run an order again whose router was killed while it ran',
     run: async (fleet) => {
       const first = sendOrder(callerOf(fleet, 0), 'order-killed')
       await whenStarted(fleet, 'order-killed')
@@ -68,9 +68,9 @@
     killed: [0]
   },
   {
-    // The router freezes with an order in its hands, another gets the repeat,
-    // then the frozen one wakes and goes on.
-    name: 'does not repeat an order whose router was paused, and lets it end',
+    // The router freezes while an order runs, another router gets the duplicate
+    // request, then the frozen router resumes.
+    name: 'does not run an order again whose router was paused, and completes the first request',
     run: async (fleet) => {
       const first = sendOrder(callerOf(fleet, 0), 'order-paused')
       await whenStarted(fleet, 'order-paused')
@@ -94,9 +94,9 @@
     expected: []
   },
   {
-    // The object store is down. The order is refused as not run; when the
-    // store is back, the same order goes through, once.
-    name: 'refuses orders as not run in an outage and takes them after it',
+    // While the object store is down the order is refused as not run. After the
+    // outage the same order is accepted and runs once.
+    name: 'refuses orders as not run during an outage and accepts them after it',
     run: async (fleet) => {
       setPlatformLinks(fleet, 'refuse')
       const refused = await sendOrder(callerOf(fleet, 0), 'order-outage')
@@ -116,9 +116,9 @@
     expected: [notRun, answered]
   },
   {
-    // Both at once: the store goes down while an order runs, and its router
-    // dies before it can record the answer.
-    name: 'does not repeat an order whose router was killed in an outage',
+    // The store goes down while an order runs, and the router is killed before
+    // it can store the answer.
+    name: 'does not run an order again whose router was killed during an outage',
     run: async (fleet) => {
       const first = sendOrder(callerOf(fleet, 0), 'order-both')
       await whenStarted(fleet, 'order-both')
@@ -131,7 +131,7 @@
     killed: [0]
   },
   {
-    name: 'runs orders once while peers cannot reach each other',
+    name: 'runs an order once while peers cannot reach each other',
     run: async (fleet) => {
       for (const { peerLink } of fleet.routers) peerLink.setFault({ kind: 'blackhole' })
       const ends = await Promise.all([0, 1, 0, 1].map((router) => sendOrder(callerOf(fleet, router), 'order-cut')))
--- a/test/integration/configuration.test.ts
+++ b/test/integration/configuration.test.ts
@@ -1,6 +1,6 @@
 /**
- * A sheet, once accepted, is in force everywhere within seconds and never
- * reverts: operators' commands and routers as real processes, each link
+ * Tests that an accepted sheet takes effect on all routers within seconds and is never
+ * reverted. Operators' commands and routers are real processes, and each link passes
  * through a fault proxy.
  */
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs'
@@ -21,7 +21,7 @@
 
 const run = (operator: string, ...flags: readonly string[]): Promise<FinishedCommand> => runOperatorCommand(fleet, operator, ...flags)
 
-/** The sheet in force with another weight of its one client account, as a file. */
+/** Writes the current sheet with another weight of its client account to a file and returns the path. */
 const writeSheet = async (weight: number): Promise<string> => {
   const { stdout } = await run('anybody', 'sheet', 'show')
   const path = join(folder, `sheet-${weight}.csv`)
@@ -43,8 +43,8 @@
     expect(await readGenerations()).toEqual([2, 2, 2])
   })
 
-  // Of racing operators two would believe that theirs is in force.
-  it('is the one of racing operators that was told so', async () => {
+  // Two operators who apply concurrently would both be told that their sheet is in force.
+  it('is the one whose operator got exit code 0, when four operators apply concurrently', async () => {
     const paths = await Promise.all([2, 3, 4, 5].map(writeSheet))
     const runs = await Promise.all(paths.map((path, index) => run(`operator-${index}`, 'sheet', 'apply', path, '--against', '1', '--wait', '30')))
     expect(runs.map(({ code }) => code).sort()).toEqual([0, 3, 3, 3])
@@ -53,8 +53,8 @@
     expect((await run('anybody', 'sheet', 'show')).stdout).toContain(`clientAccount,deli-1,${winner + 2},`)
   })
 
-  // A command whose replies were lost would say what is not so.
-  it.each([1, 2, 3, 9])('is told truly when the replies to %i writes are lost', async (count) => {
+  // A command whose replies from the platform are lost would report the wrong outcome.
+  it.each([1, 2, 3, 9])('is reported as accepted only if it is, when the replies to %i writes are lost', async (count) => {
     const path = await writeSheet(2)
     await fleet.platform.setFault({ fault: 'loseReplies', count })
     const { code } = await run('jana', 'sheet', 'apply', path, '--apply-id', 'the-one')
@@ -68,8 +68,8 @@
 })
 
 describe('a router', () => {
-  // A replaced VM could not serve while the platform is down.
-  it('that starts while the platform is down takes the generation of its peers', async () => {
+  // A router on a replaced VM could not serve while the platform is down.
+  it('that starts while the platform is down gets the generation from its peers', async () => {
     await run('jana', 'sheet', 'apply', await writeSheet(2), '--wait', '30')
     await fleet.platform.setFault({ fault: 'outage', on: true })
     const seeds = fleet.routers.map(({ peerLink }) => peerLink.address).join(',')
@@ -82,8 +82,8 @@
     await replaced.kill()
   })
 
-  // A node cut off from everything would count as having the sheet.
-  it('that is cut off keeps its generation, is named, and catches up when healed', async () => {
+  // A node that is cut off would be counted as having the new sheet.
+  it('that is cut off keeps its generation, is listed as behind, and catches up when healed', async () => {
     const path = await writeSheet(2)
     const cutOff = fleet.routers[2]!
     const links = [...fleet.routers.map(({ peerLink }) => peerLink), cutOff.platformLink]
@@ -95,8 +95,8 @@
     await waitFor('every router to confirm generation 2', async () => (await run('jana', 'sheet', 'status')).code === 0)
   })
 
-  // A paused node would count as confirmed.
-  it('that is paused is not confirmed until it wakes', async () => {
+  // A paused node would be counted as having confirmed the new sheet.
+  it('that is paused is not confirmed until it resumes', async () => {
     const path = await writeSheet(2)
     fleet.routers[1]!.process.pause()
     const applied = await run('jana', 'sheet', 'apply', path, '--wait', '1')
--- a/test/integration/cutZone.test.ts
+++ b/test/integration/cutZone.test.ts
@@ -1,7 +1,7 @@
 /**
- * A zone that is cut off: the platform and the peers are out of its router's
- * reach, and one backend server lies behind the cut. It goes on with what it
- * reaches and what it last knew, and never runs what it may not run.
+ * Tests a partitioned zone whose router reaches neither the platform nor its peers, while
+ * one backend server is unreachable for all routers. The router serves with its last known
+ * state and the servers that it reaches, and runs no order that needs a claim.
  */
 import { afterAll, afterEach, beforeAll, describe, expect, it } from 'vitest'
 import type { LinkFault } from '../_lib/createFaultProxy.js'
@@ -13,7 +13,7 @@
 import type { Fleet, FleetRouter } from '../_lib/startFleet.js'
 import { waitFor } from '../_lib/waitFor.js'
 
-/** Long enough that lookups are in flight while links and sheets change. */
+/** Delays answers enough that lookups are in flight while links and sheets change. */
 const SERVICE_FLAGS = ['--delay', '500']
 const STOPPED = 'ordering-1'
 const SAYS_THAT_IT_LEAVES = 1
@@ -31,7 +31,7 @@
 })
 afterAll(async () => { await fleet.stop() })
 
-/** With two routers, both peer links down cut one off from the other. */
+/** Cuts both peer links, which separates the two routers, and the platform link of the cut-off one. */
 const setCut = (fault: LinkFault): void => {
   for (const link of [near.peerLink, cutOff.peerLink, cutOff.platformLink]) link.setFault(fault)
 }
@@ -56,7 +56,7 @@
 const describeFailures = (ends: readonly OrderEnd[]): readonly string[] =>
   ends.filter(({ end }) => end.kind !== 'answered' || end.status !== 200).map((end) => JSON.stringify(end))
 
-/** Attempts of a router at a backend server that have ended, refused ones included. */
+/** Counts a router's finished attempts at a backend server, including refused ones. */
 const countAttempts = async (router: FleetRouter, name: string): Promise<number> => {
   const lines = (await (await fetch(`${router.operator}/metrics`)).text()).split('\n')
   return lines
@@ -70,15 +70,15 @@
     await waitFor('the cut to heal', isHealed)
   })
 
-  // A cut zone would refuse what it can answer, or run orders that may run elsewhere.
-  it.each(['blackhole', 'refuse'] as const)('answers what may be repeated and runs no order, when links %s', async (kind) => {
+  // A partitioned zone would refuse lookups that it can answer, or run orders that may run in another zone.
+  it.each(['blackhole', 'refuse'] as const)('answers repeatable requests and runs no order, with the link fault %s', async (kind) => {
     const { generation } = await cutOff.readStatus()
     const lost = fleet.services[BEHIND_THE_CUT]!
     for (const setFault of [setCut, lost.link.setFault]) setFault({ kind })
     const orders = await Promise.all([1, 2, 3].map((index) => sendOrder(cutOff.caller, `order-${kind}-${index}`)))
     const lookups = [...await sendLookups(cutOff, `at-once-${kind}`)]
     await waitFor('the router to know that it is alone', () => isAlone(cutOff))
-    await waitFor('the lost server to be out', async () => !isInUse(await readState(cutOff, lost.server.name)))
+    await waitFor('the lost server to be out of use', async () => !isInUse(await readState(cutOff, lost.server.name)))
     lookups.push(...await sendLookups(cutOff, `alone-${kind}`))
     const chats = await Promise.all([true, false].map((stream) => sendChat(cutOff.caller, `Is there penne, ${kind}?`, stream).whenEnded))
     orders.push(await sendOrder(cutOff.caller, `order-${kind}-4`))
@@ -95,13 +95,13 @@
     for (const router of fleet.routers) await waitFor('the lost server to be back', async () => isInUse(await readState(router, lost.server.name)))
   })
 
-  // A planned stop made while a zone is cut would cut requests there, or never reach it.
-  it('has a planned stop of meanwhile when it is healed, and is named until then', async () => {
+  // A planned stop that is applied while a zone is partitioned would break requests there, or never reach it.
+  it('gets a planned stop applied meanwhile once it is healed, and is listed as behind until then', async () => {
     setCut({ kind: 'blackhole' })
     const { generation } = await cutOff.readStatus()
     const before = [near, cutOff].map((router) => sendLookups(router, `before-${router.nodeId}`))
     await fleet.changeSheet((sheet) => ({ ...sheet, plannedStops: [{ name: 'firmware', backendServer: STOPPED, startsAt: Date.now() - 1_000 }] }))
-    await waitFor('the stop at the router with a platform', async () => await readState(near, STOPPED) === 'leaving')
+    await waitFor('the planned stop at the router that reaches the platform', async () => await readState(near, STOPPED) === 'leaving')
     const ends = (await Promise.all(before)).flat()
     const attemptsNear = await countAttempts(near, STOPPED)
     ends.push(...await sendLookups(near, 'during'))
@@ -111,7 +111,7 @@
     expect(status).toMatchObject({ code: 6, stdout: expect.stringMatching(/router-2.*behind/) })
     const whileHealing = sendLookups(cutOff, 'healing')
     setCut({ kind: 'none' })
-    await waitFor('the stop in the healed zone', async () => await readState(cutOff, STOPPED) === 'leaving')
+    await waitFor('the planned stop in the healed zone', async () => await readState(cutOff, STOPPED) === 'leaving')
     ends.push(...await whileHealing)
     expect((await cutOff.readStatus()).generation).toBe(generation + 1)
     const attempts = await countAttempts(cutOff, STOPPED)
@@ -122,14 +122,14 @@
     expect(judgeOrders(ends, await fleet.readJournals())).toEqual([])
   })
 
-  // A server replaced while its zone is cut would go on getting work there.
-  it('sends nothing new to a server that says itself that it leaves', async () => {
+  // A server that is replaced while its zone is partitioned would still get requests there.
+  it('sends no new request to a server that reports itself as leaving', async () => {
     setCut({ kind: 'blackhole' })
     await waitFor('the router to know that it is alone', () => isAlone(cutOff))
     const leaving = fleet.services[SAYS_THAT_IT_LEAVES]!
     await leaving.setFault({ fault: 'leaving', on: true })
     const ends = [...await sendLookups(cutOff, 'first')]
-    await waitFor('the mark in the cut zone', async () => await readState(cutOff, leaving.server.name) === 'leaving')
+    await waitFor('the leaving mark in the partitioned zone', async () => await readState(cutOff, leaving.server.name) === 'leaving')
     const attempts = await countAttempts(cutOff, leaving.server.name)
     ends.push(...await sendLookups(cutOff, 'next'))
     expect(await countAttempts(cutOff, leaving.server.name)).toBe(attempts)
--- a/test/integration/documentedCommands.test.ts
+++ b/test/integration/documentedCommands.test.ts
@@ -9,7 +9,7 @@
 const operating = readFileSync(OPERATING, 'utf8')
 const pages = ['README.md', OPERATING].map((page) => [page, readFileSync(page, 'utf8')] as const)
 
-/** The lines of fenced blocks, and what stands in backquotes, that begin with the program. */
+/** Lines of fenced blocks, and inline code, that start with the program's name. */
 const commandLines = pages.flatMap(([page, text]) => {
   const fenced = [...text.matchAll(/```sh\n([\s\S]*?)```/g)].flatMap(([, block]) => block!.replaceAll('\\\n', ' ').split('\n'))
   const quoted = [...text.replaceAll(/```[\s\S]*?```/g, '').matchAll(/`([^`]+)`/g)].map(([, quote]) => quote!)
@@ -23,7 +23,7 @@
 const listCommands = (program: Command): readonly Command[] => listAll(program).filter(({ commands }) => commands.length === 0)
 const namePath = (command: Command): string => command.parent === null ? '' : `${namePath(command.parent)} ${command.name()}`.trim()
 
-/** Parses as the program would, for problems alone: nothing is run. */
+/** Parses the words as the program does, without running the command, and returns the problem if there is one. */
 const findProblem = (words: readonly string[]): string | undefined => {
   const program = createProgram()
   let isReached = false
@@ -31,7 +31,7 @@
   for (const command of listCommands(program)) command.action(() => { isReached = true })
   try {
     program.parse(words, { from: 'user' })
-    return isReached ? undefined : 'it names no command that can be run'
+    return isReached ? undefined : 'no runnable command is named'
   } catch (error) {
     return String(error)
   }
@@ -55,18 +55,18 @@
 
 const readMetrics = async (): Promise<readonly string[]> => [...(await createPromMetrics().render()).matchAll(/^# HELP dotterelspoke_(\S+)/gm)].map(([, name]) => name!)
 
-describe('the commands in the pages', () => {
-  it('are found at all', () => { expect(commandLines.length).toBeGreaterThan(15) })
+describe('the commands in the documentation', () => {
+  it('are found by the parser of this test', () => { expect(commandLines.length).toBeGreaterThan(15) })
 
   it.each(commandLines)('%s: %s', (_page, words) => { expect(findProblem(words.split(/\s+/))).toBeUndefined() })
 
-  it.each([['no command of that name', 'sheet aply x.csv'], ['no flag of that name', 'drain engine-a1 --until 5'], ['no command to run', 'sheet']])('would be caught with %s', (_fault, words) => {
+  it.each([['no command of that name', 'sheet aply x.csv'], ['no flag of that name', 'drain engine-a1 --until 5'], ['no command to run', 'sheet']])('are rejected with %s', (_fault, words) => {
     expect(findProblem(words.split(' '))).toBeDefined()
   })
 
   it.each(listCommands(createProgram()).map((command) => [namePath(command), command] as const))('%s has an example in its help', (name, command) => {
     expect(renderHelp(command)).toMatch(new RegExp(`Examples?:[\\s\\S]*dotterelspoke ${name}\\b`))
-    expect(operating, 'stands in the table of commands').toContain(`\`${name}`)
+    expect(operating, 'is missing in the table of commands').toContain(`\`${name}`)
   })
 })
 
--- a/test/integration/leaving.test.ts
+++ b/test/integration/leaving.test.ts
@@ -1,4 +1,4 @@
-/** Backend servers and routers that leave: no new work, and no request in flight is cut off. */
+/** Tests backend servers and routers that leave: they get no new requests, and requests in flight complete. */
 import { afterEach, describe, expect, it } from 'vitest'
 import { judgeOrders, sendLookup, sendOrder } from '../_lib/sendOrder.js'
 import type { OrderEnd } from '../_lib/sendOrder.js'
@@ -6,7 +6,7 @@
 import type { Fleet } from '../_lib/startFleet.js'
 import { waitFor } from '../_lib/waitFor.js'
 
-/** Long enough that requests are in flight while a server starts to leave. */
+/** Delays answers enough that requests are in flight when a server starts to leave. */
 const SERVICE_FLAGS = ['--delay', '2000']
 const LEAVING = 'ordering-1'
 
@@ -39,19 +39,19 @@
   }
 ]
 
-describe('what leaves', () => {
+describe('a process that leaves', () => {
   let fleet: Fleet | undefined
   afterEach(async () => {
     await fleet?.stop()
     fleet = undefined
   })
 
-  it.each(sources)('gets no new work and finishes the old, by $name', async ({ announce }) => {
+  it.each(sources)('as a backend server, gets no new requests and completes those in flight, reported by $name', async ({ announce }) => {
     fleet = await startFleet({ routers: 2, services: 2, serviceFlags: SERVICE_FLAGS })
     const inFlight = sendLookups(fleet, 8, 'before')
-    await waitFor('a request at the server that will leave', async () => await countRuns(fleet!) > 0)
+    await waitFor('a request to reach the server that will leave', async () => await countRuns(fleet!) > 0)
     await announce(fleet)
-    await waitFor('the mark at every router', () => isLeavingEverywhere(fleet!))
+    await waitFor('the leaving mark at every router', () => isLeavingEverywhere(fleet!))
     const runs = await countRuns(fleet)
     const after = await sendLookups(fleet, 10, 'after')
     expect(countAnswered(await inFlight)).toBe(8)
@@ -60,7 +60,7 @@
   })
 
   // Orders in flight through a router that is replaced would lose their answers.
-  it('is a router that ends its orders in flight before it exits', async () => {
+  it('as a router, completes its orders in flight before it exits', async () => {
     fleet = await startFleet({ routers: 2, services: 1, serviceFlags: SERVICE_FLAGS })
     const keys = ['order-1', 'order-2', 'order-3']
     const orders = Promise.all(keys.map((key) => sendOrder(callerAt(fleet!, 0), key)))
--- a/test/integration/loadBound.test.ts
+++ b/test/integration/loadBound.test.ts
@@ -1,7 +1,7 @@
 /**
- * The load bound with the real membership, load view, directory and choice of
- * nine routers on a manual clock, under what the brief says may fail. The
- * engines' own counts at each placement are the judge, not the routers' views.
+ * Tests the load bound with the real membership, load view, directory and placement of
+ * nine routers on a manual clock, under the supported faults. Loads are compared by the
+ * engines' own counts at each placement, not by the routers' views.
  */
 import { describe, expect, it } from 'vitest'
 import { createSimulation } from '../../src/bench/placement/_lib/createSimulation.js'
@@ -13,7 +13,7 @@
 const WARM_UP_MS = 30_000
 const MEASURED_MS = 40_000
 const SETTLE_MS = 5_000
-/** Placements above the limit that late counts may cause, as a share; docs/GUARANTEES.md says what is left. */
+/** Maximum share of placements above the limit, which stale counts cause; docs/GUARANTEES.md describes this limit of the guarantee. */
 const ALLOWED_SHARE = 0.01
 
 const runScenario = async (policy: string, scenario: string): Promise<number> => {
@@ -24,13 +24,13 @@
   return simulation.measurement.read().placementsAboveLimit
 }
 
-// Requests would pile up on one engine while others stand idle.
+// Requests would pile up on one engine while others are idle.
 describe('the load bound', () => {
-  it.each(Object.keys(scenarios))('holds at all but a hundredth of placements: %s', async (scenario) => {
+  it.each(Object.keys(scenarios))('holds for at least 99 % of placements: %s', async (scenario) => {
     expect(await runScenario('bounded, memory, new chats apart', scenario)).toBeLessThan(ALLOWED_SHARE)
   })
 
-  it('is passed at every tenth placement without the guard', async () => {
+  it('is exceeded by more than 10 % of placements without the guard', async () => {
     expect(await runScenario('plain rendezvous', 'steady')).toBeGreaterThan(0.1)
   })
 })
--- a/test/integration/loadUnderFaults.test.ts
+++ b/test/integration/loadUnderFaults.test.ts
@@ -115,8 +115,8 @@
   return { summary, results, ran }
 }
 
-// Failing servers would leave a caller with another's answer, a part for the whole, or an order that ran twice.
-describe('a load through two routers while backend servers fail in every way', () => {
+// With failing servers a caller would get the answer of another request or a truncated one, or an order would run twice.
+describe('a load through two routers while backend servers inject all kinds of faults', () => {
   let run: Run
 
   beforeAll(async () => {
@@ -132,7 +132,7 @@
   const listOrders = (): readonly { readonly key: string, readonly sent: SentRequest }[] =>
     run.results.flatMap(({ planned, sent }) => planned.kind === 'order' ? [{ key: planned.idempotencyKey, sent }] : [])
 
-  it('leaves nobody with a broken answer or somebody else\'s', () => {
+  it('gets no broken answer and no answer of another request', () => {
     expect(run.summary).toMatchObject({ sent: 400, outcomes: { broken: 0, wrong: 0 } })
   })
 
@@ -145,17 +145,17 @@
     expect(doubled).toEqual([])
   })
 
-  it('has run every order that it called complete', () => {
+  it('has run every order that was reported complete', () => {
     const missing = listOrders().filter(({ key, sent }) => sent.outcome === 'complete' && countRuns(({ idempotencyKey }) => idempotencyKey === key) === 0)
     expect(missing).toEqual([])
   })
 
-  it('has run nothing of what it refused as not run', () => {
+  it('has run no request that was refused as not run', () => {
     const refused = run.results.filter(({ sent }) => sent.outcome === 'refusedNotRun').map(({ sent }) => sent.requestId)
     expect(refused.filter((requestId) => countRuns((entry) => entry.requestId === requestId) > 0)).toEqual([])
   })
 
-  it('has seen every kind of fault used up', async () => {
+  it('has used up all injected faults of the services', async () => {
     const standIns = started.filter(({ ready }) => ready['kind'] === 'service')
     const left = await Promise.all(standIns.map(async (server) => await (await fetch(`${read(server, 'control')}/faults`)).json()))
     expect(left).toEqual(standIns.map(() => ({})))
--- a/test/integration/refusals.test.ts
+++ b/test/integration/refusals.test.ts
@@ -1,7 +1,7 @@
 /**
- * What callers are told, over all the faults of backend servers and links,
- * with the journals as judge: a request that was refused as not run did not
- * run, and an answer that was given was the caller's own.
+ * Tests refusals and answers under all faults of backend servers and links against the
+ * journals of the services: a request that was refused as not run did not run, and each
+ * answer belongs to its request.
  */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest'
 import type { LinkFault } from '../_lib/createFaultProxy.js'
@@ -64,13 +64,13 @@
   return statuses.every(({ ledger }) => ledger.open === 0)
 }
 
-// A server ejected in one case would hide the faults of the next; each has a fleet of its own.
+// Each case starts its own fleet, since a server that was ejected in one case would hide the faults of the next.
 describe('refusals and answers under faults', () => {
   let fleet: Fleet
   beforeEach(async () => { fleet = await startFleet({ routers: 1, services: 2, serviceFlags: ['--delay', '20'] }) })
   afterEach(async () => { await fleet.stop() })
 
-  it.each(cases)('are true under $name', async (entry) => {
+  it.each(cases)('match the journals under $name', async (entry) => {
     await inject(fleet, entry)
     const ends = await sendBoth(fleet)
     await clearFaults(fleet)
--- a/test/integration/sheetCommands.test.ts
+++ b/test/integration/sheetCommands.test.ts
@@ -51,7 +51,7 @@
   faulty: kiosk.replace('podlipan-obchody,6', 'podlipan-obchody,x')
 }
 
-/** An operator port like a router's, whose status a test sets. */
+/** Starts an operator listener like a router's that returns the given status. */
 const startRouter = async (readStatus: () => Partial<NodeStatus>): Promise<string> => {
   const router: OperatorHttp = createOperatorHttp({
     host: '127.0.0.1',
@@ -78,23 +78,23 @@
   it.each([
     ['examples/kiosk/sheet.csv', { clientAccounts: 10, services: 2, backendServers: 15, routes: 5, plannedStops: 1 }],
     ['examples/strathmore/sheet.csv', { clientAccounts: 10, services: 2, backendServers: 9, routes: 4, plannedStops: 1 }]
-  ])('finds %s sound', async (path, counts) => {
+  ])('accepts %s as valid', async (path, counts) => {
     const { code, out } = await run('sheet', 'check', path, '--json')
     expect({ code, ...JSON.parse(out) }).toEqual({ code: 0, kind: 'sound', ...counts })
   })
 
-  it('prints the place of a problem and exits with 1', async () => {
+  it('prints the location of a problem and exits with 1', async () => {
     const { code, err } = await run('sheet', 'check', 'faulty')
     expect({ code, err }).toMatchObject({ code: 1, err: expect.stringContaining('faulty:2:3: weight "x" must be') })
   })
 
-  it('exits with 2 for a file that is not there', async () => {
+  it('exits with 2 for a file that does not exist', async () => {
     expect(await run('sheet', 'check', 'nowhere.csv')).toMatchObject({ code: 2 })
   })
 })
 
 describe('sheet apply', () => {
-  it('applies what was planned and never calls it confirmed', async () => {
+  it('applies the planned sheet and reports it as not confirmed yet', async () => {
     const plan = await run('sheet', 'plan', 'heavier')
     expect(plan.out).toContain('--against 0')
     const applied = await run('sheet', 'apply', 'heavier', '--against', '0')
@@ -109,7 +109,7 @@
     expect((await run('audit')).out).toContain('petr: sheet apply, generation 0 -> 2: refused')
   })
 
-  it('exits with 4 and changes nothing in an outage', async () => {
+  it('exits with 4 and reports the sheet as not accepted in an outage', async () => {
     platform.faults.apply({ fault: 'outage' })
     expect(await run('sheet', 'apply', 'heavier')).toMatchObject({ code: 4, out: expect.stringContaining('not accepted') })
   })
@@ -132,7 +132,7 @@
     expect(await run('sheet', 'apply', 'heavier', '--wait', '30', '--router', url)).toMatchObject({ code: 0, out: expect.stringContaining('in force on all 1 routers') })
   })
 
-  it('exits with 6 when a router does not get it in time, and says why', async () => {
+  it('exits with 6 and the reason when a router does not get the sheet in time', async () => {
     const url = await startRouter(() => ({ generation: 0, pending: { generation: 1, reason: 'platform: unavailable' } }))
     expect(await run('sheet', 'apply', 'heavier', '--wait', '0', '--router', url)).toMatchObject({ code: 6, out: expect.stringContaining('platform: unavailable') })
   })
@@ -147,14 +147,14 @@
     expect({ code, out }).toMatchObject({ code: 6, out: expect.stringContaining('NOT confirmed everywhere') })
   })
 
-  it('says that routers are ahead of a restored platform, and the next apply goes above them', async () => {
+  it('reports routers that are ahead of a restored platform, and the next apply gets a generation above theirs', async () => {
     await run('sheet', 'apply', 'heavier')
     const url = await startRouter(() => ({ generation: 7 }))
     expect(await run('sheet', 'status', '--router', url)).toMatchObject({ code: 6, out: expect.stringContaining('above the platform\'s 1') })
     expect((await run('sheet', 'apply', 'lighter', '--router', url)).out).toContain('accepted as generation 8')
   })
 
-  it('is never "everywhere" when the platform cannot be asked', async () => {
+  it('exits with 4 when the platform cannot be read', async () => {
     const url = await startRouter(() => ({}))
     platform.faults.apply({ fault: 'outage' })
     expect(await run('sheet', 'status', '--router', url)).toMatchObject({ code: 4 })
@@ -162,7 +162,7 @@
 })
 
 describe('drain', () => {
-  it('adds a planned stop and takes it away again', async () => {
+  it('adds a planned stop and removes it again', async () => {
     await run('sheet', 'apply', 'heavier')
     expect(await run('drain', 'model-a1')).toMatchObject({ code: 0, out: expect.stringContaining('+ plannedStops drain-model-a1') })
     expect(await run('drain', 'model-a1', '--cancel')).toMatchObject({ code: 0, out: expect.stringContaining('- plannedStops drain-model-a1') })
@@ -180,8 +180,8 @@
     expect((await run('sheet', 'apply', 'lighter')).err).toContain('ends the drain of drain-model-a1')
   })
 
-  // Of two drains that race one would be lost.
-  it('keeps both of two drains that race', async () => {
+  // The later of two concurrent drains would overwrite the planned stop of the other.
+  it('keeps both of two concurrent drains', async () => {
     await run('sheet', 'apply', 'heavier')
     const runs = await Promise.all([run('drain', 'model-a1'), run('drain', 'model-b1', '--as', 'petr')])
     expect(runs.map(({ code }) => code)).toEqual([0, 0])
@@ -190,9 +190,9 @@
   })
 
   it.each<[string, Partial<BackendServerStatus>, number]>([
-    ['is drained when the last request has ended', {}, 0],
-    ['is not while a request is in flight', { ownInFlight: 1 }, 6],
-    ['is not while a router still gives it work', { state: 'live' }, 6]
+    ['exits with 0 when the last request has ended', {}, 0],
+    ['exits with 6 while a request is in flight', { ownInFlight: 1 }, 6],
+    ['exits with 6 while a router still sends requests to the server', { state: 'live' }, 6]
   ])('%s', async (_, status, code) => {
     await run('sheet', 'apply', 'heavier')
     let asked = 0
--- a/test/integration/stopRouter.test.ts
+++ b/test/integration/stopRouter.test.ts
@@ -20,9 +20,9 @@
   start('router', '--node-id', 'r1', '--availability-zone', 'a', '--platform-url', platformUrl, '--log-level', 'error',
     '--caller-port', '0', '--operator-port', '0', '--peer-port', '0', '--shutdown-delay-ms', '0', '--shutdown-grace-ms', String(LONG_GRACE_MS))
 
-describe('a router process that is told to stop', () => {
-  // A stopped router with nothing in flight would stay for its whole grace.
-  it('ends as soon as nothing is in flight, not after its grace period', async () => {
+describe('a router process that gets SIGTERM', () => {
+  // A router with no request in flight would wait for its complete grace period before it exits.
+  it('exits as soon as no request is in flight, not after its grace period', async () => {
     const platform = await start('emulate', 'platform')
     const router = await startRouter(String(platform.ready['listening']))
     router.terminate()
@@ -30,8 +30,8 @@
   })
 })
 
-describe('the stand-ins as processes', () => {
-  it.each(['platform', 'engine', 'service'])('%s prints where it listens, and ends when told to stop', async (kind) => {
+describe('a stand-in process', () => {
+  it.each(['platform', 'engine', 'service'])('%s prints its listening addresses, and exits on SIGTERM', async (kind) => {
     const standIn = await start('emulate', kind)
     expect(standIn.ready['kind']).toBe(kind)
     expect((await fetch(`${String(standIn.ready['control'])}/faults`)).status).toBe(200)
--- a/test/integration/wholePath.test.ts
+++ b/test/integration/wholePath.test.ts
@@ -59,7 +59,7 @@
   const first = await startRouter(1, platform, '')
   routers = [first, await startRouter(2, platform, String(first.ready['peer']))]
   for (const router of routers) {
-    await waitFor('a ready router', async () => (await fetch(`${String(router.ready['operator'])}/readyz`)).ok)
+    await waitFor('the router to be ready', async () => (await fetch(`${String(router.ready['operator'])}/readyz`)).ok)
   }
 })
 
@@ -73,11 +73,11 @@
 const messages = [{ role: 'user' as const, content: 'Is there any durum flour left?' }]
 
 describe('a fleet of separate processes', () => {
-  it('has its sheet accepted by the command line', () => {
+  it('accepts a sheet from the command line', () => {
     expect(applied.stdout).toContain('generation 1')
   })
 
-  it.each([0, 1])('gives a whole answer through router %i', async (router) => {
+  it.each([0, 1])('returns a non-streamed answer through router %i', async (router) => {
     const answer = await createClient(router).chat.completions.create({ model: 'shop-assistant', messages })
     expect(answer.choices[0]?.message.content).toBe(composeAnswer(messages).text)
   })
@@ -111,13 +111,13 @@
   it.each([
     'requests_accepted_total', 'platform_calls_total{call="read",outcome="ok"}', 'peer_sent_bytes_total{kind="heartbeat"}', 'load_probes_total{outcome="complete"}'
   ])('counts %s at a router', async (metric) => {
-    await waitFor('a count above 0', async () => {
+    await waitFor('the counter to be above 0', async () => {
       const lines = (await (await fetch(`${String(routers[0]?.ready['operator'])}/metrics`)).text()).split('\n')
       return lines.some((line) => line.startsWith(`dotterelspoke_${metric} `) && !line.endsWith(' 0'))
     })
   })
 
-  it('shows the demo with a hit of the prompt cache', async () => {
+  it('runs the demo, which reports a prompt cache hit', async () => {
     const demo = await runCommand(['demo'])
     expect(demo.stdout).toContain('the second turn hit the prompt cache')
     expect(demo.code).toBe(0)
--- a/test/openaiClient.test.ts
+++ b/test/openaiClient.test.ts
@@ -32,12 +32,12 @@
 }
 
 describe('the official client library', () => {
-  it('reads a whole answer', async () => {
+  it('reads a non-streamed answer', async () => {
     const { client } = await start([answerWhole(WHOLE)])
     expect(await askWhole(client)).toBe('Two years.')
   })
 
-  it('reads a stream that was cut and resumed as if nothing had happened', async () => {
+  it('reads a stream that was broken and resumed without any gap', async () => {
     const { client } = await start([answerEventsThenCut([formatEvent(1, 'Two ')]), answerEvents([formatEvent(1, 'Two '), formatEvent(2, 'years.'), END_EVENT])])
     let text = ''
     await askStream(client, (part) => { text += part })
@@ -45,20 +45,20 @@
   })
 
   /*
-   * A shopkeeper's app shows half of an answer as the whole one: the stream
-   * ended early, and the library took the end of the connection for its end.
+   * An application would show a truncated answer as complete: the stream ends early,
+   * and the library reads the end of the connection as the end of the answer.
    */
   it.each<[string, readonly RawStep[]]>([
-    ['cut and gone', [answerEventsThenCut([formatEvent(1, 'Two ')]), answerWhole('{}', {}, 404)]],
-    ['cut on a server that died', [answerEventsThenCut([formatEvent(1, 'Two ')]), resetConnection]],
+    ['broken and no longer known to the server', [answerEventsThenCut([formatEvent(1, 'Two ')]), answerWhole('{}', {}, 404)]],
+    ['broken on a server that died', [answerEventsThenCut([formatEvent(1, 'Two ')]), resetConnection]],
     ['ended without its end marker', [answerEvents([formatEvent(1, 'Two ')]), answerWhole('{}', {}, 404)]],
-    ['never started', [resetConnection]]
+    ['reset before its first event', [resetConnection]]
   ])('throws when a stream was %s', async (_name, steps) => {
     const { client } = await start(steps)
     await expect(askStream(client, () => {})).rejects.toThrow(OpenAI.APIError)
   })
 
-  it('throws when a whole answer was cut', async () => {
+  it('throws when a non-streamed answer was truncated', async () => {
     const { client } = await start([answerThenCut({ 'content-type': 'application/json', 'content-length': '900' }, WHOLE)])
     await expect(askWhole(client)).rejects.toThrow(OpenAI.APIError)
   })
@@ -68,13 +68,13 @@
     await expect(askWhole(client)).rejects.toMatchObject({ status: 503, code: 'noBackendServer', error: { outcome: 'not-run' } })
   })
 
-  it('comes back by itself after a refusal that was not run', async () => {
+  it('retries by itself after a request was refused as not run', async () => {
     const { client, backend } = await start([refuseWith('overloaded'), answerWhole(WHOLE)], 1)
     expect(await askWhole(client)).toBe('Two years.')
     expect(backend.requests.length).toBe(2)
   })
 
-  it('does not repeat what is refused for good', async () => {
+  it('does not retry a request that was refused permanently', async () => {
     const { client, backend } = await start([answerWhole(WHOLE)], 2)
     await expect(client.chat.completions.create({ model: 'unknown', messages: MESSAGES })).rejects.toThrow(OpenAI.NotFoundError)
     expect(backend.requests.length).toBe(0)
--- a/test/platform/_lib/startGatewayFleet.ts
+++ b/test/platform/_lib/startGatewayFleet.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet of gateways over the stand-ins of the platform, in one process with
- * real sockets on free ports. Everything ends with `close`.
+ * Starts a fleet of gateways over the stand-ins of the platform, in one process
+ * with real sockets on free ports. `close` stops all of it.
  */
 import { createDialect } from '../../../platform/createDialect/index.js'
 import { createPromptCacheSource } from '../../../platform/createPromptCacheSource/index.js'
@@ -24,9 +24,9 @@
   readonly gateways: readonly Gateway[]
   readonly callerAddress: (index?: number) => PeerAddress
   readonly logs: readonly LogLine[]
-  /** Kills a node and starts it anew, at other addresses and without memory. */
+  /** Kills a node and restarts it with empty memory and new addresses. */
   readonly restart: (index: number) => Promise<void>
-  /** Takes the store away from one node; the others keep it. */
+  /** Makes the store unreachable for one node; the others still reach it. */
   readonly cutFromStore: (index: number) => void
 }
 
@@ -37,11 +37,11 @@
 
 type SeverableStore = StoreClient & { readonly cut: () => void }
 
-/** A client whose way to the store can be taken away. */
+/** Wraps a store client so that a test can cut its connection to the store. */
 const createSeverableStore = (client: StoreClient): SeverableStore => {
   let isCut = false
   return {
-    get: async (path, timeoutMs) => isCut ? { ok: false, error: { kind: 'unavailable', message: 'cut off' } } : await client.get(path, timeoutMs),
+    get: async (path, timeoutMs) => isCut ? { ok: false, error: { kind: 'unavailable', message: 'store connection cut by the test' } } : await client.get(path, timeoutMs),
     close: client.close,
     cut: () => { isCut = true }
   }
@@ -50,7 +50,7 @@
 /**
  * Starts store, backends and gateways, and waits until each gateway is ready.
  *
- * @param options - How many of each, and what differs from the defaults.
+ * @param options - Number of nodes and backend servers, and overrides of the defaults.
  * @returns The running fleet.
  */
 export const startGatewayFleet = async (options: FleetOptions = {}): Promise<GatewayFleet> => {
--- a/test/platform/flapping.test.ts
+++ b/test/platform/flapping.test.ts
@@ -1,4 +1,4 @@
-/** Backend servers that go down and up by turns, as callers see them. */
+/** Tests what callers see while a backend server repeatedly goes down and up. */
 import { afterEach, expect, test } from 'vitest'
 import { callGateway, type CallResult } from '../../platform/standIn/callGateway/index.js'
 import { startGatewayFleet, type GatewayFleet } from './_lib/startGatewayFleet.js'
@@ -18,7 +18,7 @@
 
 afterEach(async () => { for (const fleet of fleets.splice(0)) await fleet.close() })
 
-/** One server is down in every other turn; calls go out all the while. */
+/** Sends calls at a steady rate while one server is down in every other turn. */
 const callThroughTurns = async (fleet: GatewayFleet, fault: BackendFault, path: string): Promise<readonly CallResult[]> => {
   const calls: Promise<CallResult>[] = []
   for (let turn = 0; turn < TURNS; turn++) {
@@ -31,14 +31,14 @@
   return await Promise.all(calls)
 }
 
-// A flapping server would show in lookups that another could answer.
+// Lookups would fail with a flapping server although another server can answer them.
 test.each(['reset', 'error', 'dark'] as const)('a lookup is answered while one server flaps (%s)', async (fault) => {
   const results = await callThroughTurns(await start(), fault, '/lookup')
   expect(results.map(({ status }) => status)).toEqual(results.map(() => 200))
 })
 
-// A flapping server would double an order, or one that ran would be called not run.
-test.each(['reset', 'error', 'dark', 'full'] as const)('an order runs once at most while one server flaps (%s)', async (fault) => {
+// A retry after a failure of the flapping server would run an order twice, or an order that ran would be refused as not run.
+test.each(['reset', 'error', 'dark', 'full'] as const)('an order runs at most once while one server flaps (%s)', async (fault) => {
   const fleet = await start()
   const results = await callThroughTurns(fleet, fault, '/order')
   const runs = [...fleet.backends.values()].flatMap((backend) => backend.records()).filter(({ isRun }) => isRun).map(({ requestId }) => requestId)
--- a/test/platform/framing.test.ts
+++ b/test/platform/framing.test.ts
@@ -1,4 +1,4 @@
-/** Requests whose end can be read in two ways, and headers that only the system sets, in seeded variety. */
+/** Tests seeded random requests with ambiguous framing (request smuggling) and with forged system headers. */
 import fc from 'fast-check'
 import { afterAll, beforeAll, describe, expect, test } from 'vitest'
 import { exchangeBytes, nextRequestId } from '../../platform/standIn/callGateway/index.js'
@@ -7,9 +7,9 @@
 
 const SEED = 20_261_203
 const RUNS = 160
-/** Connections at once. */
+/** Number of concurrent connections. */
 const BATCH = 20
-/** An answer comes within some milliseconds; what was smuggled would follow it at once. */
+/** An answer takes a few milliseconds, and the answer to a smuggled request would follow it at once. */
 const LISTEN_MS = 400
 
 let fleet: GatewayFleet
@@ -23,7 +23,7 @@
 const changeCase = (text: string, mask: number): string =>
   [...text].map((character, index) => ((mask >> (index % 24)) & 1) === 1 ? character.toUpperCase() : character.toLowerCase()).join('')
 
-/** Heads after which one reader sees a body of `length` bytes and another sees it end sooner or later. */
+/** Headers by which one parser reads a body of `length` bytes and another reads a shorter or longer one. */
 const AMBIGUITIES: readonly ((length: number) => readonly string[])[] = [
   (length) => [`Content-Length: ${length}`, 'Transfer-Encoding: chunked'],
   (length) => ['Transfer-Encoding: chunked', `Content-Length: ${length}`],
@@ -58,8 +58,8 @@
 
 const readRequestIds = (): readonly string[] => [...fleet.backends.values()].flatMap((backend) => backend.records().map(({ requestId }) => requestId))
 
-// A request hidden behind an ambiguous end would run with no check of its key.
-test('a request that is hidden behind an ambiguous end never runs', async () => {
+// A request smuggled in the body of an ambiguously framed one would run without a check of its key.
+test('a request that is smuggled by ambiguous framing never runs', async () => {
   const cases = fc.sample(ambiguous, { numRuns: RUNS, seed: SEED })
   await inBatches(cases, async ({ ambiguity, before, mask }) => {
     const body = before + composeHead(`hidden-${nextRequestId()}`, ['Content-Length: 0'])
@@ -74,7 +74,7 @@
 const forged = fc.record({ names: fc.subarray(SYSTEM_HEADERS, { minLength: 1 }), mask: fc.nat({ max: 2 ** 24 - 1 }) })
 
 describe('a header that only the system sets', () => {
-  test('goes no further when a caller sent it, in whatever case', async () => {
+  test('is not forwarded when a caller sends it, in any letter case', async () => {
     const cases = fc.sample(forged, { numRuns: RUNS, seed: SEED })
     await inBatches(cases, async ({ names, mask }) => {
       const lines = names.map((name) => `${changeCase(name, mask)}: forged`)
--- a/test/platform/knowledge.test.ts
+++ b/test/platform/knowledge.test.ts
@@ -1,4 +1,4 @@
-/** What a gateway believes of configuration and backend servers, and what it does while their source is away. */
+/** Tests a gateway's view of configuration, keys, backend servers and prompt caches, also while the store is unreachable. */
 import { afterEach, describe, expect, test } from 'vitest'
 import { callGateway, promptHeaders } from '../../platform/standIn/callGateway/index.js'
 import { createRoute } from '../../platform/standIn/createPlatform/index.js'
@@ -20,15 +20,15 @@
   (await callGateway(fleet.callerAddress(node), { path, ...(key === undefined ? {} : { key }) })).status
 
 describe('a new configuration', () => {
-  test('comes into force without a restart', async () => {
+  test('takes effect without a restart', async () => {
     const fleet = await start()
     fleet.applyConfiguration(7, { routes: [createRoute('fresh')] })
     await waitFor('the new route', async () => await readStatus(fleet, '/fresh/1') === 200)
     expect(await readStatus(fleet, '/lookup/1')).toBe(404)
   })
 
-  // A store that hands out an older version would bring back routes that no longer hold.
-  test('never gives way to an older one', async () => {
+  // A store that returns an older version, as after a restore, would bring back routes that were replaced.
+  test('is never replaced by an older version', async () => {
     const fleet = await start()
     fleet.applyConfiguration(7, { routes: [createRoute('fresh')] })
     await waitFor('the new route', async () => await readStatus(fleet, '/fresh/1') === 200)
@@ -37,18 +37,18 @@
     expect(await readStatus(fleet, '/fresh/1')).toBe(200)
   })
 
-  // A node without the store would serve by an old version while its peers have the new one.
+  // A node that loses the store would serve with an old version while its peers have the new one.
   test('reaches a node that is cut off from the store through its peers', async () => {
     const fleet = await start({ nodes: 2 })
-    await waitFor('the peer to be known', async () => fleet.logs.some(({ message }) => message === 'member changed'))
+    await waitFor('the nodes to discover each other', async () => fleet.logs.some(({ message }) => message === 'member changed'))
     fleet.cutFromStore(1)
     fleet.applyConfiguration(7, { routes: [createRoute('fresh')] })
-    await waitFor('the new route on the cut node', async () => await readStatus(fleet, '/fresh/1', 1) === 200)
+    await waitFor('the new route on the node that is cut off', async () => await readStatus(fleet, '/fresh/1', 1) === 200)
   })
 })
 
 describe('a key', () => {
-  test('that was taken away is refused', async () => {
+  test('that was revoked is refused', async () => {
     const fleet = await start()
     expect(await readStatus(fleet, '/lookup/1', 0, 'second-key')).toBe(200)
     fleet.applyConfiguration(7, { tenants: [{ name: 'pekarna', api_keys: ['key-of-pekarna'], priority: 1 }] })
@@ -56,8 +56,8 @@
     expect(await readStatus(fleet, '/lookup/1')).toBe(200)
   })
 
-  // A node that can reach neither store nor peers would use a key that was taken away.
-  test('is not used once its validity can no longer be proved', async () => {
+  // A node that reaches neither the store nor a peer would go on accepting a key that was revoked.
+  test('is not accepted once its validity can no longer be confirmed', async () => {
     const fleet = await start({ settings: { keyRevocationMs: 1_500 } })
     fleet.store.setFault('silent')
     await waitFor('requests with a key to be refused', async () => await readStatus(fleet, '/order/1') === 503)
@@ -66,9 +66,9 @@
     await waitFor('requests with a key to be served', async () => await readStatus(fleet, '/order/1') === 200)
   })
 
-  test('stays in use on a node that is cut off from the store while a peer vouches for it', async () => {
+  test('stays accepted on a node that is cut off from the store while a peer confirms it', async () => {
     const fleet = await start({ nodes: 2, settings: { keyRevocationMs: 1_500 } })
-    await waitFor('the peer to be known', async () => fleet.logs.some(({ message }) => message === 'member changed'))
+    await waitFor('the nodes to discover each other', async () => fleet.logs.some(({ message }) => message === 'member changed'))
     fleet.cutFromStore(1)
     await new Promise((resolve) => { setTimeout(resolve, 2_500) })
     expect(await readStatus(fleet, '/lookup/1', 1)).toBe(200)
@@ -76,7 +76,7 @@
 })
 
 describe('the list of backend servers', () => {
-  test('takes up one that registers later', async () => {
+  test('includes a server that registers later', async () => {
     const fleet = await start({ plain: [] })
     expect(await readStatus(fleet, '/lookup/1')).toBe(503)
     const late = await createBackendStandIn({ id: 'plain-late' })
@@ -85,7 +85,7 @@
     await late.close()
   })
 
-  test('leaves out one that is leaving', async () => {
+  test('excludes a server that is leaving', async () => {
     const fleet = await start()
     fleet.register(fleet.backends.get('plain-1')!, 'plain', { state: 'draining' })
     await waitFor('the leaving mark', async () => fleet.logs.some(({ message, backendServer }) => message === 'backend server leaving' && backendServer === 'plain-1'))
@@ -94,8 +94,8 @@
     expect(fleet.backends.get('plain-1')!.records()).toHaveLength(before)
   })
 
-  // An older copy of a leaving server's entry would send work to a server that is about to end.
-  test('takes back a leaving one only when it has started anew', async () => {
+  // An outdated entry without the leaving mark would send requests to a server that is about to shut down.
+  test('includes a leaving server again only after its restart', async () => {
     const fleet = await start()
     const backend = fleet.backends.get('plain-1')!
     const count = (): number => backend.records().length
@@ -106,7 +106,7 @@
     for (let index = 0; index < 6; index++) await readStatus(fleet, '/lookup/1')
     expect(count()).toBe(before)
     fleet.register(backend, 'plain', { born: 2 })
-    await waitFor('the server\'s new start to get work', async () => {
+    await waitFor('the restarted server to get requests', async () => {
       await readStatus(fleet, '/lookup/1')
       return count() > before
     })
@@ -116,8 +116,8 @@
     ['without a service', { service: undefined }],
     ['with an unknown state', { state: 'sleeping' }],
     ['with a slot count that is text', { slots: '8' }],
-    ['with an address that is none', { address: 'nowhere' }]
-  ])('passes over an entry %s and keeps the others', async (_name, changes) => {
+    ['with an invalid address', { address: 'nowhere' }]
+  ])('skips an entry %s and keeps the others', async (_name, changes) => {
     const fleet = await start()
     const foreign = await createBackendStandIn({ id: 'plain-foreign' })
     fleet.register(foreign, 'plain', changes)
@@ -128,8 +128,8 @@
     await foreign.close()
   })
 
-  // Entries lapse while the store is away, and a node would drop servers that are well.
-  test('is kept through an outage of the store, and for a moment after it', async () => {
+  // Entries expire while the store is down. A node would drop servers that are healthy but have not registered again yet.
+  test('is kept through an outage of the store and for a grace period after it', async () => {
     const fleet = await start()
     fleet.store.setFault('reset')
     await new Promise((resolve) => { setTimeout(resolve, 600) })
@@ -143,8 +143,8 @@
     expect(await readStatus(fleet, '/open/1')).toBe(200)
   })
 
-  // A watch that heard nothing while the store forgot its changes would keep a server that left.
-  test('is read anew when the store has forgotten its history', async () => {
+  // A watch that misses a removal which the store then drops from its history would keep the removed server.
+  test('is read in full again when the store has lost its history', async () => {
     const fleet = await start()
     fleet.store.setWatchMuted(true)
     fleet.store.remove('servers', 'plain-1')
@@ -154,7 +154,7 @@
   })
 })
 
-describe('where prompts are kept', () => {
+describe('the cached prefix location', () => {
   const sendChat = async (fleet: GatewayFleet, node: number, shared: string): Promise<void> => {
     const result = await callGateway(fleet.callerAddress(node), { path: '/chat/1', body: 'x', headers: promptHeaders(shared, `own-${shared}`) })
     expect(result.isComplete).toBe(true)
@@ -163,24 +163,25 @@
   const findKeeper = (fleet: GatewayFleet, shared: string): readonly string[] =>
     [...fleet.backends.values()].filter((backend) => backend.records().some(({ headers }) => headers['x-prompt-prefix']?.startsWith(shared))).map(({ id }) => id)
 
-  test('is known to a peer, which sends the next turn there', async () => {
+  test('is reported to a peer, which sends the next turn of the chat there', async () => {
     const fleet = await start({ nodes: 2 })
-    await waitFor('the peer to be known', async () => fleet.logs.some(({ message }) => message === 'member changed'))
+    await waitFor('the nodes to discover each other', async () => fleet.logs.some(({ message }) => message === 'member changed'))
     await sendChat(fleet, 0, 'aa')
     await new Promise((resolve) => { setTimeout(resolve, 600) })
     await sendChat(fleet, 1, 'aa')
     expect(findKeeper(fleet, 'aa')).toHaveLength(1)
   })
 
-  // After a loss of power no node knows where prompts are kept, and displaced ones would be read again.
-  test('is asked of the engines after a start of all nodes', async () => {
+  // After a restart of all nodes none knows which engine caches a prefix. Prompts that are not cached
+  // at their highest-ranked engine would be computed again.
+  test('is read from the engines after a restart of all nodes', async () => {
     const fleet = await start({ settings: { isFirstStart: false } })
     const rank = findKeeper(fleet, 'zz')
     expect(rank).toHaveLength(0)
     await sendChat(fleet, 0, 'zz')
     const [keeper] = findKeeper(fleet, 'zz')
     await fleet.restart(0)
-    await waitFor('the engines to be asked', async () => fleet.backends.get(keeper!)!.countCacheReads() > 0)
+    await waitFor('the cache contents to be read from the engine', async () => fleet.backends.get(keeper!)!.countCacheReads() > 0)
     await sendChat(fleet, 0, 'zz')
     expect(findKeeper(fleet, 'zz')).toEqual([keeper])
   })
--- a/test/platform/largeFleet.test.ts
+++ b/test/platform/largeFleet.test.ts
@@ -1,10 +1,10 @@
-/** What the nodes of a fleet too large for everybody to talk to everybody know of each other, and of each other's requests. */
+/** Tests membership and load views in fleets that are too large for a full mesh of heartbeats. */
 import { afterEach, describe, expect, test } from 'vitest'
 import { createSeededRandom } from '../../src/adapters/seededRandom/index.js'
 import { createKnowledgeFleet, type KnowledgeFleet, type KnowledgeFleetOptions } from '../../src/emulator/createKnowledgeFleet/index.js'
 
 const KEYS = ['engine-1@1', 'engine-2@1']
-/** Two sums and the way of each. */
+/** Two intervals of load aggregation plus the transmission of each sum. */
 const KNOWN_MS = 1_300
 
 const fleets: KnowledgeFleet[] = []
@@ -35,7 +35,7 @@
   expect(readLoads(fleet)).toEqual(new Set([16]))
 })
 
-// While the list changes, a full server would pass for an idle one.
+// A count that moves to another server when the list changes would make a full server look idle.
 test('counts stay with their servers while the list changes', async () => {
   const fleet = await start()
   startRequests(fleet)
@@ -49,8 +49,8 @@
   expect(readLoads(fleet)).toEqual(new Set([16]))
 })
 
-// A node loses power with its requests open. Its counts would hold servers for full for ever.
-test('requests of a node that is gone are forgotten', async () => {
+// A node loses power with open requests. If its counts stayed, servers would look full forever.
+test('requests of a dead node are no longer counted', async () => {
   const fleet = await start()
   startRequests(fleet)
   await fleet.clock.advanceAndSettle(KNOWN_MS)
@@ -61,15 +61,16 @@
   expect(new Set(others.map((node) => node.resolve('loadView').estimateInFlight(KEYS[0]!)))).toEqual(new Set([15]))
 })
 
-describe.each([1, 2, 3])('75 nodes that all start at once (seed %i)', (seed) => {
+describe.each([1, 2, 3])('75 nodes that start at the same time (seed %i)', (seed) => {
   const SIZE = { nodesPerZone: 25, zones: 3 }
   const RESTARTED = [5, 12, 20, 33, 41, 50, 58, 66, 70, 74]
 
   const countLive = (fleet: KnowledgeFleet): readonly number[] =>
     [...new Set(fleet.nodes.map((node) => node.resolve('membership').liveMembers().length))]
 
-  // Routers whose views differed suspected those that rightly sent their heartbeats to others; rumours and refutations kept the views apart for half a minute.
-  test('all know all within seconds, and through the restart of a tenth of them', async () => {
+  // Nodes with different views send heartbeats to different peers, so healthy nodes were suspected.
+  // Gossip updates and refutations then kept the views apart for half a minute.
+  test('all see each other as live within seconds, also after the restart of a tenth of them', async () => {
     const fleet = await start(SIZE, createSeededRandom(seed).next)
     await fleet.clock.advanceAndSettle(2_000)
     expect(countLive(fleet)).toEqual([75])
@@ -78,8 +79,8 @@
     expect(countLive(fleet)).toEqual([75])
   })
 
-  // A node that ranks others for the sums of load takes none, knows of nobody's requests, and sends to full servers.
-  test('know the load of all after the restart of a tenth of them', async () => {
+  // A node whose view of the aggregators differs from its peers' receives no load sums, counts no requests of others and sends to full servers.
+  test('count the load of all nodes after the restart of a tenth of them', async () => {
     const fleet = await start(SIZE, createSeededRandom(seed).next)
     for (const node of fleet.nodes) node.resolve('loadView').recordStart(KEYS[0]!)
     for (const index of RESTARTED) await fleet.restart(index)
@@ -88,7 +89,7 @@
     expect(new Set(loads)).toEqual(new Set([75 - RESTARTED.length]))
   })
 
-  test('tell little once all know all', async () => {
+  test('send little heartbeat traffic once their views agree', async () => {
     const fleet = await start(SIZE, createSeededRandom(seed).next)
     await fleet.clock.advanceAndSettle(6_000)
     const sumBytes = (): number => fleet.transports.reduce((sum, transport) => sum + (transport.bytesSent().get('heartbeat') ?? 0), 0)
--- a/test/platform/operations.test.ts
+++ b/test/platform/operations.test.ts
@@ -1,4 +1,4 @@
-/** The way from a failed request's id to its cause, as docs/OPERATIONS.md gives it, on the recorded lines of a played day. */
+/** Tests the commands that docs/OPERATIONS.md gives to find the cause of a failed request, on the recorded log of a simulated day. */
 import { readFileSync } from 'node:fs'
 import { describe, expect, test } from 'vitest'
 import { createExplainCommand } from '../../src/cli/explain/index.js'
@@ -28,15 +28,15 @@
 }
 
 describe('docs/OPERATIONS.md', () => {
-  test('has a command for each of its three kinds of failure', () => expect(commands.map(([requestId]) => requestId).sort()).toEqual(Object.keys(CAUSES).sort()))
+  test('has a command for each of the three kinds of failure', () => expect(commands.map(([requestId]) => requestId).sort()).toEqual(Object.keys(CAUSES).sort()))
 
-  test.each(commands)('explains %s by its cause', (requestId, file) => {
+  test.each(commands)('prints the cause of the failure of request %s', (requestId, file) => {
     const { text, exitCode } = explain(requestId, file)
     expect(exitCode).toBe(0)
     for (const part of CAUSES[requestId]!) expect(text).toContain(part)
   })
 
-  test('says so when no line has the request', () => expect(explain('nobody', 'test/platform/recorded/day.jsonl')).toMatchObject({ exitCode: 1, text: 'no line has the request nobody' }))
+  test('reports that no line has the request', () => expect(explain('nobody', 'test/platform/recorded/day.jsonl')).toMatchObject({ exitCode: 1, text: 'no line has the request nobody' }))
 })
 
 describe('logs summary', () => {
@@ -48,13 +48,13 @@
     for (const part of ['staleKeys', 'answerBroken', 'complete']) expect(text).toContain(part)
   })
 
-  test('draws the complete requests and the others of each period', () => expect(run(createLogsCommand, words).text).toMatch(/Z {2}#*!+ {2}\d+ complete, \d+ not/))
+  test('draws the numbers of complete and other requests of each period', () => expect(run(createLogsCommand, words).text).toMatch(/Z {2}#*!+ {2}\d+ complete, \d+ not/))
 
-  test('says so when no line ends a request', () => expect(run(createLogsCommand, ['summary', 'package.json'])).toMatchObject({ exitCode: 1, text: 'no line ends a request' }))
+  test('reports that no line ends a request', () => expect(run(createLogsCommand, ['summary', 'package.json'])).toMatchObject({ exitCode: 1, text: 'no line ends a request' }))
 })
 
 describe('the log', () => {
-  test('has only events of the table in its recorded lines', () => {
+  test('contains only events of the table gatewayEvents', () => {
     const events = readFileSync('test/platform/recorded/day.jsonl', 'utf8').trim().split('\n').map((line) => (JSON.parse(line) as { readonly message: string }).message)
     for (const event of new Set(events)) expect(Object.keys(gatewayEvents)).toContain(event)
   })
--- a/test/platform/processes.test.ts
+++ b/test/platform/processes.test.ts
@@ -1,4 +1,4 @@
-/** The daemon as processes of their own, over the platform's stand-ins: the whole path as it runs in production. */
+/** Tests the daemon as separate processes over the platform's stand-ins, end to end as in production. */
 import { spawnSync } from 'node:child_process'
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -28,14 +28,14 @@
 const waitUntilReady = (node: GatewayProcess): Promise<boolean> => waitFor(`${node.lines[0]?.node} to be ready`, async () => await readReadiness(node) === 200)
 
 describe('the daemon', () => {
-  test('serves whole answers and streams', async () => {
+  test('serves non-streamed and streamed answers', async () => {
     const node = await startNode(await startPlatform(), 'node-1')
     await waitUntilReady(node)
     expect(await callGateway(node.callerAddress, { path: '/lookup/1' })).toMatchObject({ status: 200, isComplete: true })
     expect(await callGateway(node.callerAddress, { path: '/chat/1', body: 'x', headers: promptHeaders() })).toMatchObject({ status: 200, isComplete: true })
   })
 
-  test('shows its metrics', async () => {
+  test('exposes its metrics', async () => {
     const node = await startNode(await startPlatform(), 'node-1')
     await waitUntilReady(node)
     await callGateway(node.callerAddress, { path: '/lookup/1' })
@@ -44,7 +44,7 @@
     expect(text).toContain('dotterelspoke_configuration_version 1')
   })
 
-  test('ends by itself after SIGTERM, before its grace is over', async () => {
+  test('exits by itself after SIGTERM, before the grace period ends', async () => {
     const node = await startNode(await startPlatform(), 'node-1')
     await waitUntilReady(node)
     node.signal('SIGTERM')
@@ -52,7 +52,7 @@
     expect(node.lines.at(-1)).toMatchObject({ message: 'gateway stopped', open: 0 })
   })
 
-  // After all processes were killed in an outage no node could serve.
+  // A node that is restarted during an outage of the store could not serve without a configuration.
   test('starts from a peer while the store is down', async () => {
     const platform = await startPlatform()
     const first = await startNode(platform, 'node-1')
@@ -63,7 +63,7 @@
     expect(await callGateway(second.callerAddress, { path: '/open/1', key: undefined })).toMatchObject({ status: 200 })
   })
 
-  test('takes up changed settings on SIGHUP, and refuses wrong ones as a whole', async () => {
+  test('applies changed settings on SIGHUP, and rejects an invalid file as a whole', async () => {
     const node = await startNode(await startPlatform(), 'node-1')
     await waitUntilReady(node)
     node.rewriteSettings({ 'bounds.retry_ratio': '0.1' })
@@ -71,12 +71,12 @@
     await waitFor('the settings to be reloaded', () => node.lines.some(({ message }) => message === 'settings reloaded'))
     node.rewriteSettings({ 'bounds.grace_s': 'soon' })
     node.signal('SIGHUP')
-    await waitFor('the wrong settings to be refused', () => node.lines.some(({ message }) => message === 'settings refused'))
+    await waitFor('the invalid settings to be refused', () => node.lines.some(({ message }) => message === 'settings refused'))
     expect(await callGateway(node.callerAddress, { path: '/lookup/1' })).toMatchObject({ status: 200 })
   })
 
-  // A frozen process that wakes would run an order with a key taken away meanwhile.
-  test('does not use a key that was taken away while it was frozen', async () => {
+  // A process that resumes from a freeze would accept an order with a key that was revoked meanwhile.
+  test('does not accept a key that was revoked while it was frozen', async () => {
     const platform = await startPlatform()
     const node = keep(await startGatewayProcess({ name: 'node-1', store: platform.store.address(), fields: { 'bounds.revoke_ms': '2000' } }))
     await waitUntilReady(node)
@@ -90,8 +90,8 @@
     expect([...platform.backends.values()].flatMap((backend) => backend.records()).filter(({ requestId }) => requestId === 'frozen')).toEqual([])
   })
 
-  // A process that wakes read a request and the close of its caller together, and sent the request to a server.
-  test('sends nothing on for a caller that left while it was frozen', async () => {
+  // A process that resumes reads a request and its caller's close together, and would still send the request to a server.
+  test('forwards no request of a caller that disconnected while it was frozen', async () => {
     const platform = await startPlatform()
     const node = await startNode(platform, 'node-1')
     await waitUntilReady(node)
@@ -109,7 +109,7 @@
     expect([...platform.backends.values()].flatMap((backend) => backend.records()).filter(({ requestId }) => requestId === 'left')).toEqual([])
   })
 
-  test('is not ready while it knows no configuration, and says so to callers', async () => {
+  test('is not ready without a configuration, and refuses callers with 503', async () => {
     const platform = await startPlatform()
     platform.store.setFault('silent')
     const node = await startNode(platform, 'node-1')
@@ -117,13 +117,13 @@
     expect((await callGateway(node.callerAddress, { path: '/lookup/1' })).status).toBe(503)
   })
 
-  // Compiled code of other flags is left unused in silence, and each start takes twice as long.
-  test('is deployed with the flags that its compiled code is made for', () => {
+  // Node silently ignores a code cache that was built with other flags, and each start takes twice as long.
+  test('is deployed with the flags that its code cache was built with', () => {
     expect(readFileSync('deploy/system.toml', 'utf8')).toContain(`run = "node ${PROGRAM.join(' ')}"`)
     expect(readFileSync('scripts/bundlePlatform.mjs', 'utf8')).toContain(PROGRAM[0])
   })
 
-  test('ends its start with one line that names a field that is missing', () => {
+  test('fails to start with one line that names the missing field', () => {
     const folder = mkdtempSync(join(tmpdir(), 'dotterelspoke-gateway-'))
     const path = join(folder, 'node.conf')
     writeFileSync(path, 'node_name=node-1\n')
--- a/test/platform/readers.test.ts
+++ b/test/platform/readers.test.ts
@@ -1,4 +1,4 @@
-/** Few nodes of a zone read the source; what the others believe, and how soon, by interleavings on a manual clock. */
+/** Tests how the nodes of a zone learn the source's state from the few that read it, with interleavings on a manual clock. */
 import { afterEach, describe, expect, test } from 'vitest'
 import { createSeededRandom } from '../../src/adapters/seededRandom/index.js'
 import { createKnowledgeFleet, type KnowledgeFleet, type KnowledgeFleetOptions } from '../../src/emulator/createKnowledgeFleet/index.js'
@@ -40,7 +40,7 @@
   })
 })
 
-// Nodes that all try as often as readers would meet the store's return with hundreds of calls.
+// If all nodes polled as often as the readers during an outage, the recovering store would get hundreds of calls at once.
 test('an outage of the source does not multiply the calls', async () => {
   const fleet = await start({ nodesPerZone: 24 })
   for (let node = 0; node < 24; node++) fleet.setReached(node, false)
@@ -64,7 +64,7 @@
     expect(new Set(readServers(fleet))).toEqual(new Set(['engine-1@1']))
   })
 
-  // A zone whose readers lost the store would send requests to a server that has ended.
+  // A zone whose readers lost the store would send requests to a server that was removed.
   test('reads for itself when both readers lose the source', async () => {
     const fleet = await start({ nodesPerZone: 6 })
     fleet.setReached(0, false)
@@ -74,8 +74,8 @@
     expect(readServers(fleet).slice(2)).toEqual(Array(4).fill('engine-1@1'))
   })
 
-  // Readers that fall silent at one moment, as in a lost rack, would leave their zone without news.
-  test('reads for itself when both readers fall silent', async () => {
+  // Readers that fail at the same time, as when a rack is lost, would leave their zone without updates.
+  test('reads for itself when both readers stop responding', async () => {
     const fleet = await start({ nodesPerZone: 6 })
     for (const reader of [0, 1]) {
       fleet.setReached(reader, false)
@@ -88,8 +88,8 @@
     expect(new Set(readVersions(fleet).slice(2))).toEqual(new Set([4]))
   })
 
-  // The only reader of a zone falls silent, and its nodes would learn nothing until it is held dead.
-  test('learns from the next zone when its own reader falls silent', async () => {
+  // The only reader of a zone stops responding. Its nodes would get no update until it is declared dead.
+  test('gets updates from the next zone when its own reader stops responding', async () => {
     const fleet = await start({ nodesPerZone: 4, zones: 2 })
     fleet.setReached(0, false)
     for (let other = 1; other < 8; other++) fleet.network.cut(fleet.addressOf(0), fleet.addressOf(other))
@@ -101,8 +101,8 @@
     expect([2, 4, 6].map((node) => readVersions(fleet)[node])).toEqual(Array(3).fill(4))
   })
 
-  // An entry that lapsed in an outage only the readers saw would be dropped before its server registers again.
-  test('keeps a server whose entry lapsed in an outage', async () => {
+  // An entry expires during an outage that only the readers see. The server would be dropped before it registers again.
+  test('keeps a server whose entry expired in an outage', async () => {
     const fleet = await start({ nodesPerZone: 6 })
     for (let node = 0; node < 6; node++) fleet.setReached(node, false)
     await fleet.clock.advanceAndSettle(4_000)
@@ -134,8 +134,8 @@
     expect(listSending(fleet)).toHaveLength(24)
   })
 
-  // The store turns a third of the nodes away, a zone's reader among them; these would send where nothing may be sent.
-  test('reaches the nodes that the source turns away', async () => {
+  // The store rejects a third of the nodes, among them a zone's reader. These nodes would still send to the drained zone.
+  test('reaches the nodes that the source rejects', async () => {
     const fleet = await start({ nodesPerZone: 8, zones: 3 })
     for (let node = 0; node < 8; node++) fleet.setReached(node, false)
     await fleet.clock.advanceAndSettle(1_000)
@@ -144,8 +144,8 @@
     expect(listSending(fleet)).toEqual([])
   })
 
-  // Killed and started inside the drain, a node that knows servers but no drains would send at once.
-  test('is known to a node that starts inside it before that can serve', async () => {
+  // A node that restarts during a drain and learns the servers before the drains would send to the drained zone.
+  test('is known to a node that starts during it before the node can serve', async () => {
     const fleet = await start({ nodesPerZone: 4, zones: 2 })
     fleet.beginDrain('zone-0')
     await fleet.clock.advanceAndSettle(1_000)
@@ -157,8 +157,8 @@
     expect(fleet.nodes[3]!.canServe()).toBe(true)
   })
 
-  // A drain that follows another while one zone is cut off, and ends there unheard.
-  test('and a second one reach a zone that was cut off meanwhile', async () => {
+  // While a zone is cut off, one drain ends and another begins. The zone would keep the first and miss the second.
+  test('that replaced another one reaches a zone that was cut off meanwhile', async () => {
     const fleet = await start({ nodesPerZone: 4, zones: 3 })
     const isInCutZone = (index: number): boolean => index % 3 === 2
     for (let one = 0; one < 12; one++) {
@@ -178,17 +178,18 @@
   })
 })
 
-describe('a storm of versions with many routes', () => {
+describe('a burst of versions with many routes', () => {
   const STORM_VERSIONS = 15
   const VERSION_GAP_MS = 333
-  /** A version costs a node about what changed in it, whatever the number of routes. */
+  /** The bytes that a node receives for a version depend on its changes, not on the number of routes. */
   const MOST_BYTES_A_VERSION = 2_048
 
   const sumKnowledgeBytes = (fleet: KnowledgeFleet): number =>
     fleet.transports.reduce((sum, transport) => sum + (transport.bytesSent().get('knowledgeRequestReply') ?? 0), 0)
 
-  // Each version went to every node whole: the reader's link was full for seconds, and nodes served by versions long replaced.
-  test('is in force everywhere in a second, a third of the nodes restarted in it, in few bytes', async () => {
+  // If each version were sent in full to every node, the reader's link would be saturated for seconds
+  // and nodes would serve with outdated versions.
+  test('takes effect on all nodes within a second and in few bytes, although a third of them restart', async () => {
     const fleet = await start({ nodesPerZone: 8, zones: 3, routes: 1_200 })
     const before = sumKnowledgeBytes(fleet)
     for (let version = 0; version < STORM_VERSIONS; version++) {
@@ -209,16 +210,16 @@
   return isOver
 }
 
-// A caller whose key can't be proved would wait for a refusal that is known at once.
-describe('a request whose key needs proof', () => {
-  test('does not wait for a source that is known to be away', async () => {
+// A caller whose key can't be confirmed would wait for a refusal that could be sent at once.
+describe('a request whose key needs confirmation', () => {
+  test('does not wait for a source that is known to be unreachable', async () => {
     const fleet = await start({ nodesPerZone: 2 })
     for (const node of [0, 1]) fleet.setReached(node, false)
     await fleet.clock.advanceAndSettle(5_000)
     expect(await isConfirmedOrGivenUp(fleet)).toBe(true)
   })
 
-  test('waits for a source that was reached last', async () => {
+  test('waits for a source that was reachable at the last read', async () => {
     const fleet = await start({ nodesPerZone: 2 })
     expect(await isConfirmedOrGivenUp(fleet)).toBe(false)
   })
@@ -240,12 +241,12 @@
 ]
 
 /**
- * A node holds a proof that is younger than it should be: it would go on using
- * a key that was taken away. Or a version goes back, and a route that was dropped
- * is served again. Both would come from an order of answers that nobody thought of.
+ * Guards against replies that arrive in an unexpected order. A node could consider
+ * its confirmation more recent than it is and go on accepting a revoked key, or
+ * return to an older version and serve a route that was removed.
  */
 describe.each([1, 2, 3, 4, 5, 6, 7, 8])('in the interleaving of seed %i', (seed) => {
-  test('no node takes its proof for younger than it is, or goes back, and all agree in the end', async () => {
+  test('no node understates the age of its confirmation or returns to an older version, and all agree in the end', async () => {
     const random = createSeededRandom(seed).next
     const fleet = await start({ nodesPerZone: 4, zones: 2 }, seed)
     const pick = (count: number): number => Math.floor(random() * count)
--- a/test/platform/requests.test.ts
+++ b/test/platform/requests.test.ts
@@ -1,4 +1,4 @@
-/** The way of a request through a gateway over the platform's stand-ins: what callers get and what reaches backend servers. */
+/** Tests requests through a gateway over the platform's stand-ins: what callers receive and what reaches backend servers. */
 import { afterEach, describe, expect, test } from 'vitest'
 import { callGateway, exchangeBytes, promptHeaders } from '../../platform/standIn/callGateway/index.js'
 import { HOST, KEY, createRoute } from '../../platform/standIn/createPlatform/index.js'
@@ -24,8 +24,8 @@
 const composeStream = (requestId: string, from: number, to: number): string =>
   Array.from({ length: to - from + 1 }, (_, index) => formatEvent(requestId, from + index)).join('')
 
-describe('a whole answer', () => {
-  test('comes back with status, body and signature of its backend server', async () => {
+describe('a non-streamed answer', () => {
+  test('has the status, the body and the signature of its backend server', async () => {
     const fleet = await start()
     const result = await callGateway(fleet.callerAddress(), { path: '/lookup/1?x=2', requestId: 'r1' })
     const [record] = recordsOf(fleet, 'r1')
@@ -35,7 +35,7 @@
     expect(record?.target).toBe('/lookup/1?x=2')
   })
 
-  test('reaches the backend server with the account and without the key', async () => {
+  test('is requested from the backend server with the account and without the key', async () => {
     const fleet = await start()
     await callGateway(fleet.callerAddress(), { path: '/order/1', requestId: 'r1', body: 'two loaves', headers: { 'X-Tenant': 'forged', 'X-Hold': 'forged', 'X-Pin-Ms': '5', 'X-Other': 'kept' } })
     const [record] = recordsOf(fleet, 'r1')
@@ -47,7 +47,7 @@
     expect(record?.body).toBe('two loaves')
   })
 
-  test('has what is left of the deadline passed on, the route\'s timeout included', async () => {
+  test('is requested with the remaining time as deadline, limited by the route\'s timeout', async () => {
     const fleet = await start()
     await callGateway(fleet.callerAddress(), { path: '/lookup/1', requestId: 'r1', timeoutMs: 60_000 })
     const left = Number(recordsOf(fleet, 'r1')[0]?.headers['x-deadline-ms'])
@@ -57,14 +57,14 @@
 })
 
 describe('an event stream', () => {
-  test('comes back whole and in order', async () => {
+  test('arrives complete and in order', async () => {
     const fleet = await start()
     const result = await callGateway(fleet.callerAddress(), { path: '/chat/1', requestId: 'r1', body: 'hello', headers: promptHeaders() })
     expect(result).toMatchObject({ status: 200, isComplete: true, body: composeStream('r1', 1, 5) })
   })
 
-  // The caller would see parts of a broken event, or an event twice.
-  test('that is cut in the middle of an event goes on elsewhere', async () => {
+  // The caller would receive a part of an event, or an event twice.
+  test('that is cut in the middle of an event is resumed on another server', async () => {
     const fleet = await start()
     for (const backend of fleet.backends.values()) backend.setFault('cut', 1)
     fleet.backends.get('engine-2')?.setFault('none')
@@ -75,8 +75,8 @@
     expect(resumed.map(({ headers }) => headers['last-event-id'])).toEqual(['2'])
   })
 
-  // Sent again, a run that may not be resumed would be doubled; passed off as whole, the rest would be missing.
-  test('that may not be resumed ends broken and is not sent again', async () => {
+  // A retry would run the request twice, and an orderly end would hide the missing rest of the stream.
+  test('that may not be resumed ends broken and is not retried', async () => {
     const fleet = await start({ engines: [{ id: 'engine-1' }] })
     fleet.backends.get('engine-1')?.setFault('cut', 1)
     const result = await callGateway(fleet.callerAddress(), { path: '/once/1', requestId: 'r1', body: 'hello', headers: promptHeaders() })
@@ -85,7 +85,7 @@
     expect(recordsOf(fleet, 'r1')).toHaveLength(1)
   })
 
-  test('goes on after the event that the caller names', async () => {
+  test('continues after the event in the caller\'s Last-Event-Id', async () => {
     const fleet = await start()
     const result = await callGateway(fleet.callerAddress(), { path: '/chat/1', requestId: 'r1', body: 'hello', headers: { ...promptHeaders(), 'Last-Event-Id': '3' } })
     expect(result.body).toBe(composeStream('r1', 4, 5))
@@ -93,8 +93,8 @@
 })
 
 describe('a failure of a backend server', () => {
-  // A lookup that could be tried at a second server would fail with the first.
-  test('of a safe request is tried at another one', async () => {
+  // A lookup would fail with the first server although a second one can answer it.
+  test('of a safe request is retried on another server', async () => {
     const fleet = await start()
     for (const id of ['plain-1', 'plain-2']) fleet.backends.get(id)?.setFault('error', 1)
     fleet.backends.get('plain-2')?.setFault('none')
@@ -102,7 +102,7 @@
     expect(results.map(({ status }) => status)).toEqual([200, 200, 200, 200])
   })
 
-  test('of an unsafe request comes back as the server stated it', async () => {
+  test('of an unsafe request is returned as the server sent it', async () => {
     const fleet = await start({ plain: [{ id: 'plain-1' }] })
     fleet.backends.get('plain-1')?.setFault('error', 1)
     const result = await callGateway(fleet.callerAddress(), { path: '/order/1', requestId: 'r1', body: 'x' })
@@ -111,7 +111,7 @@
     expect(recordsOf(fleet, 'r1')).toHaveLength(1)
   })
 
-  // An order whose answer is lost would be sent again, or called not run.
+  // An order whose answer is lost would be retried, or refused as not run although it ran.
   test('that loses the answer of an unsafe request leaves its outcome unknown', async () => {
     const fleet = await start()
     for (const backend of fleet.backends.values()) backend.setFault('reset', 1)
@@ -128,7 +128,7 @@
     expect(results.map(({ status }) => status)).toEqual([200, 200, 200, 200])
   })
 
-  test('of all servers by refusal is told as not run, with when to come back', async () => {
+  test('of all servers by refusal is reported as not run, with Retry-After', async () => {
     const fleet = await start()
     for (const backend of fleet.backends.values()) backend.setFault('full')
     const result = await callGateway(fleet.callerAddress(), { path: '/order/1', requestId: 'r1', body: 'x' })
@@ -137,15 +137,15 @@
     expect(recordsOf(fleet, 'r1').some(({ isRun }) => isRun)).toBe(false)
   })
 
-  // A silent server would hold a safe lookup until its deadline.
-  test('by silence is found before the deadline of a safe request', async () => {
+  // A server that does not respond would block a safe lookup until its deadline.
+  test('to respond is detected before the deadline of a safe request', async () => {
     const fleet = await start()
     fleet.backends.get('plain-1')?.setFault('dark')
     const results = await Promise.all(Array.from({ length: 4 }, (_, index) => callGateway(fleet.callerAddress(), { path: '/lookup/1', requestId: `r${index}` })))
     expect(results.map(({ status }) => status)).toEqual([200, 200, 200, 200])
   })
 
-  test('by silence ends an unsafe request at the route\'s timeout with its outcome unknown', async () => {
+  test('to respond ends an unsafe request at the route\'s timeout with its outcome unknown', async () => {
     const fleet = await start({ plain: [{ id: 'plain-1' }], routes: [createRoute('order', { route_type: 'unsafe', max_attempts: 1, timeout_ms: 600 })] })
     fleet.backends.get('plain-1')?.setFault('dark')
     const result = await callGateway(fleet.callerAddress(), { path: '/order/1', requestId: 'r1', body: 'x', timeoutMs: 5_000 })
@@ -154,8 +154,8 @@
   })
 })
 
-describe('an answer that is not the request\'s own', () => {
-  // One caller would read the answer to another's request.
+describe('an answer that does not belong to the request or is damaged', () => {
+  // A caller would receive the answer to the request of another caller.
   test.each(['crossed', 'unsigned', 'encoded'] as const)('(%s) does not reach the caller', async (fault) => {
     const fleet = await start({ plain: [{ id: 'plain-1' }] })
     fleet.backends.get('plain-1')?.setFault(fault, 1)
@@ -164,7 +164,7 @@
     expect(result.headers['x-server-stamp']).toBeUndefined()
   })
 
-  // A second answer would pass for the answer to the next request on the connection.
+  // Bytes after the answer would be read as the answer to the next request on the connection.
   test('(extra bytes) is not given to the next request', async () => {
     const fleet = await start({ plain: [{ id: 'plain-1' }] })
     fleet.backends.get('plain-1')?.setFault('extra', 1)
@@ -174,7 +174,7 @@
     }
   })
 
-  test('(cut short) is not passed off as whole', async () => {
+  test('(cut short) is not delivered as complete', async () => {
     const fleet = await start({ plain: [{ id: 'plain-1' }] })
     fleet.backends.get('plain-1')?.setFault('cut', 1)
     const result = await callGateway(fleet.callerAddress(), { path: '/order/1', requestId: 'r1', body: 'x' })
@@ -183,7 +183,7 @@
 })
 
 describe('an answer without a length', () => {
-  test('is whole when its connection ends in order', async () => {
+  test('is complete when its connection closes normally', async () => {
     const fleet = await start({ plain: [{ id: 'plain-1' }] })
     fleet.backends.get('plain-1')?.setFault('unframed', 1)
     const result = await callGateway(fleet.callerAddress(), { path: '/order/1', requestId: 'r1', body: 'x' })
@@ -191,8 +191,8 @@
     expect(JSON.parse(result.body)).toMatchObject({ answer: 'r1' })
   })
 
-  // An answer without a length whose connection is reset would pass for whole.
-  test.each(['unframedReset', 'unframedResetAtOnce'] as const)('is not whole when its connection is reset (%s)', async (fault) => {
+  // A reset connection would be read as the end of the answer, and a part delivered as complete.
+  test.each(['unframedReset', 'unframedResetAtOnce'] as const)('is not complete when its connection is reset (%s)', async (fault) => {
     const fleet = await start({ plain: [{ id: 'plain-1' }] })
     fleet.backends.get('plain-1')?.setFault(fault, 1)
     const result = await callGateway(fleet.callerAddress(), { path: '/order/1', requestId: 'r1', body: 'x' })
@@ -200,8 +200,8 @@
   })
 })
 
-describe('a backend server at whose address another one is now', () => {
-  test('does not get its requests run, and is not tried again', async () => {
+describe('a backend server whose address another server has taken over', () => {
+  test('has none of its requests run there, and is not tried again', async () => {
     const fleet = await start({ plain: [{ id: 'plain-1' }, { id: 'plain-2' }] })
     fleet.backends.get('plain-1')?.rename('other')
     for (let index = 0; index < 6; index++) expect((await callGateway(fleet.callerAddress(), { path: '/order/1', requestId: `r${index}`, body: 'x' })).status).toBe(200)
@@ -210,8 +210,8 @@
   })
 })
 
-describe('a caller that leaves', () => {
-  // A server would go on working for a caller that has hung up.
+describe('a caller that disconnects', () => {
+  // A server would go on working for a caller that has disconnected.
   test('has its backend server\'s connection closed', async () => {
     const fleet = await start({ plain: [{ id: 'plain-1', workMs: 1_500 }] })
     const leaving = new AbortController()
@@ -232,7 +232,7 @@
     ['without an id', { path: '/lookup/1', requestId: '' }, 400],
     ['with a body over the limit', { path: '/order/1', body: 'x'.repeat(70_000) }, 413],
     ['with a head over the limit', { path: '/lookup/1', headers: { 'X-Long': 'x'.repeat(20_000) } }, 431]
-  ])('%s gets a status of its own', async (_name, call, status) => {
+  ])('%s gets the status of its cause', async (_name, call, status) => {
     const fleet = await start()
     expect((await callGateway(fleet.callerAddress(), call)).status).toBe(status)
   })
@@ -242,7 +242,7 @@
     expect((await callGateway(fleet.callerAddress(), { path: '/open/1', key: undefined })).status).toBe(200)
   })
 
-  // Two readings of where a request ends would let one hide inside another.
+  // Ambiguous framing would let a caller smuggle one request inside another.
   test.each([
     ['a length and chunks', `POST /order/1 HTTP/1.1\r\nHost: ${HOST}\r\nX-Attempt-Id: r1\r\nAuthorization: Bearer ${KEY}\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n`],
     ['two lengths', `POST /order/1 HTTP/1.1\r\nHost: ${HOST}\r\nX-Attempt-Id: r1\r\nAuthorization: Bearer ${KEY}\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx`],
--- a/test/platform/stop.test.ts
+++ b/test/platform/stop.test.ts
@@ -1,4 +1,4 @@
-/** A gateway's stop: what its callers and the platform's balancer see. */
+/** Tests the shutdown of a gateway as its callers and the platform's load balancer see it. */
 import { afterEach, describe, expect, test } from 'vitest'
 import { callGateway, promptHeaders } from '../../platform/standIn/callGateway/index.js'
 import { startGatewayFleet, type FleetOptions, type GatewayFleet } from './_lib/startGatewayFleet.js'
@@ -20,8 +20,8 @@
 
 const pause = (ms: number): Promise<void> => new Promise((resolve) => { setTimeout(resolve, ms) })
 
-describe('a gateway that is told to stop', () => {
-  test('fails its readiness at once and goes on serving', async () => {
+describe('a gateway that is shutting down', () => {
+  test('fails its readiness check at once and keeps serving', async () => {
     const fleet = await start()
     expect(await readReadiness(fleet)).toBe(200)
     const stopped = fleet.gateways[0]!.stop()
@@ -32,7 +32,7 @@
     await stopped
   })
 
-  test('lets what is in flight run to its end', async () => {
+  test('completes the requests in flight', async () => {
     const fleet = await start({ engines: [{ id: 'engine-1', workMs: 100, events: 15 }] })
     const call = callGateway(fleet.callerAddress(), { path: '/chat/1', body: 'x', headers: promptHeaders() })
     await pause(150)
@@ -40,8 +40,8 @@
     expect(result).toMatchObject({ status: 200, isComplete: true })
   })
 
-  // A long stream taken late in the grace would be cut by the node's end.
-  test('refuses what would outlast it, as not run', async () => {
+  // A long stream accepted late in the grace period would be cut when the process exits.
+  test('refuses requests that would outlast the grace period, as not run', async () => {
     const fleet = await start({ settings: { graceMs: 2_500 } })
     const stopped = fleet.gateways[0]!.stop()
     await pause(600)
--- a/test/platform/zones.test.ts
+++ b/test/platform/zones.test.ts
@@ -1,4 +1,4 @@
-/** Drained zones, servers that warm up, and requests bound to regions, over the platform's stand-ins. */
+/** Tests drained zones, servers that warm up and requests restricted to regions, over the platform's stand-ins. */
 import { afterEach, describe, expect, test } from 'vitest'
 import { callGateway, promptHeaders, type CallResult } from '../../platform/standIn/callGateway/index.js'
 import { ENGINES, KEY, createRoute } from '../../platform/standIn/createPlatform/index.js'
@@ -7,7 +7,7 @@
 
 const fleets: GatewayFleet[] = []
 
-/** Two plain servers and two engines, one of each in either zone; each zone is a region of its own. */
+/** Starts two plain servers and two engines, one of each per zone; each zone is a separate region. */
 const start = async (options: FleetOptions = {}): Promise<GatewayFleet> => {
   const fleet = await startGatewayFleet({
     entries: { 'plain-2': { zone: 'zone-b' }, 'engine-2': { zone: 'zone-b' } },
@@ -34,7 +34,7 @@
   await waitUntil(() => countLines(fleet, message, zone) === fleet.gateways.length)
 }
 
-/** Makes engines cold, by a new start unless their entries say otherwise; entries are heard of in their order, so that the last one tells of all. */
+/** Registers engines as cold, by default as restarted ones. Entries arrive in order, so all are known once the last one is. */
 const makeCold = async (fleet: GatewayFleet, ids: readonly string[], changes: Readonly<Record<string, unknown>> = { born: 2 }): Promise<void> => {
   for (const id of ids) fleet.register(fleet.backends.get(id)!, ENGINES, { zone: 'zone-b', cold_left_ms: 3_000, ...changes })
   fleet.store.put('servers', 'last', { service: 'none', address: '127.0.0.1:1', zone: 'zone-a', slots: 1, state: 'ready', born: 1 })
@@ -49,16 +49,16 @@
 const listStatuses = (results: readonly CallResult[]): readonly number[] => [...new Set(results.map(({ status }) => status))]
 
 describe('a drained zone', () => {
-  // Requests would go on to servers that an operator takes down.
-  test.each(['/lookup/1', '/order/1', '/chat/1'])('gets no request of %s, and the other zone serves all', async (path) => {
+  // Requests would still reach servers that an operator is about to shut down.
+  test.each(['/lookup/1', '/order/1', '/chat/1'])('gets no request for %s, and the other zone serves all', async (path) => {
     const fleet = await start({ nodes: 2 })
     await beginDrain(fleet, 'zone-b')
     expect(listStatuses(await callMany(fleet, path))).toEqual([200])
     expect([countRuns(fleet, 'plain-2'), countRuns(fleet, 'engine-2')]).toEqual([0, 0])
   })
 
-  // A repeat is a send like any other: a lookup that fails in the other zone would come here.
-  test('gets no repeat', async () => {
+  // A lookup that fails in the other zone would be retried in the drained one.
+  test('gets no retry', async () => {
     const fleet = await start()
     await beginDrain(fleet, 'zone-b')
     fleet.backends.get('plain-1')!.setFault('error')
@@ -66,8 +66,8 @@
     expect(countRuns(fleet, 'plain-2')).toBe(0)
   })
 
-  // A stream that breaks in the other zone would go on here.
-  test('gets no stream that goes on elsewhere', async () => {
+  // A stream that breaks in the other zone would be resumed in the drained one.
+  test('gets no resumed stream from another zone', async () => {
     const fleet = await start()
     await beginDrain(fleet, 'zone-b')
     fleet.backends.get('engine-1')!.setFault('cut')
@@ -75,7 +75,7 @@
     expect(countRuns(fleet, 'engine-2')).toBe(0)
   })
 
-  test('ends the streams that run there', async () => {
+  test('completes the streams that run in it', async () => {
     const fleet = await start({ engines: [{ id: 'engine-1' }, { id: 'engine-2', workMs: 60 }] })
     fleet.backends.get('engine-1')!.setFault('full')
     const stream = callGateway(fleet.callerAddress(), { path: '/chat/1', requestId: 'r1', body: 'hello', headers: promptHeaders() })
@@ -84,7 +84,7 @@
     expect(await stream).toMatchObject({ isComplete: true, body: [1, 2, 3, 4, 5].map((id) => formatEvent('r1', id)).join('') })
   })
 
-  test('gets requests again after it', async () => {
+  test('gets requests again after the drain has ended', async () => {
     const fleet = await start()
     await beginDrain(fleet, 'zone-b')
     fleet.store.remove('evacuations', 'zone-b')
@@ -93,23 +93,23 @@
     expect(countRuns(fleet, 'plain-2')).toBeGreaterThan(0)
   })
 
-  // A body that can't be read would leave a zone in service that its operator takes down.
-  test.each([['nothing', null], ['a text', 'soon'], ['a list', [1]]])('counts whatever its entry holds: %s', async (_name, spec) => {
+  // If a malformed entry were ignored, requests would still reach a zone that its operator shuts down.
+  test.each([['nothing', null], ['a text', 'soon'], ['a list', [1]]])('is drained whatever its entry contains: %s', async (_name, spec) => {
     const fleet = await start()
     await beginDrain(fleet, 'zone-b', spec)
     await callMany(fleet, '/lookup/1')
     expect(countRuns(fleet, 'plain-2')).toBe(0)
   })
 
-  test('under another name changes nothing', async () => {
+  test('with an unknown zone name has no effect', async () => {
     const fleet = await start()
     await beginDrain(fleet, 'elsewhere', {}, 'zone drain names no zone')
     expect(listStatuses(await callMany(fleet, '/lookup/1'))).toEqual([200])
     expect(countRuns(fleet, 'plain-2')).toBeGreaterThan(0)
   })
 
-  // Callers would wait for servers that nobody may send to.
-  test('and all others drained: refused at once as not run, with when to come back', async () => {
+  // Callers would wait for servers that no gateway may send to.
+  test('and all other zones drained: requests are refused at once as not run, with Retry-After', async () => {
     const fleet = await start()
     await beginDrain(fleet, 'zone-a')
     await beginDrain(fleet, 'zone-b')
@@ -121,11 +121,11 @@
   })
 })
 
-describe('a request bound to regions', () => {
+describe('a request restricted to regions', () => {
   const BOUND = [createRoute('north', { allowed_regions: ['north'] }), createRoute('nowhere', { allowed_regions: ['moon'] }), createRoute('any', { allowed_regions: [] })]
 
-  // What may not leave a region would leave it with the first server that is less loaded there, or with a repeat.
-  test('reaches servers of these regions only, repeats included', async () => {
+  // A restricted request would leave its region for a less loaded server, or with a retry.
+  test('reaches servers of these regions only, also when retried', async () => {
     const fleet = await start({ routes: BOUND })
     await callMany(fleet, '/north/1')
     fleet.backends.get('plain-1')!.setFault('error')
@@ -140,8 +140,8 @@
     expect(fleet.logs).toContainEqual(expect.objectContaining({ message: 'request ended', reason: 'regionNotAllowed' }))
   })
 
-  // A cut between two regions must not send what is bound to one of them to the other.
-  test.each(['/north/1', '/north-order/1'])('is not served elsewhere while its region can\'t be reached: %s', async (path) => {
+  // While a region is unreachable its requests would be served in another region.
+  test.each(['/north/1', '/north-order/1'])('is not served elsewhere while its region is unreachable: %s', async (path) => {
     const fleet = await start({ routes: [...BOUND, createRoute('north-order', { route_type: 'unsafe', max_attempts: 1, allowed_regions: ['north'] })] })
     await fleet.backends.get('plain-1')!.close()
     const results = await callMany(fleet, path, 4)
@@ -149,13 +149,13 @@
     expect(countRuns(fleet, 'plain-2')).toBe(0)
   })
 
-  test('by an empty list goes anywhere', async () => {
+  test('by an empty list may be served in every region', async () => {
     const fleet = await start({ routes: BOUND })
     await callMany(fleet, '/any/1')
     expect(countRuns(fleet, 'plain-2')).toBeGreaterThan(0)
   })
 
-  test('by its account and by its route is bound by both', async () => {
+  test('by its account and by its route is served only where both allow it', async () => {
     const fleet = await start({ routes: BOUND, tenants: [{ name: 'pekarna', api_keys: [KEY], allowed_regions: ['south'] }] })
     expect(listStatuses(await callMany(fleet, '/north/1', 2))).toEqual([503])
     expect(listStatuses(await callMany(fleet, '/any/1', 2))).toEqual([200])
@@ -164,12 +164,12 @@
 })
 
 describe('a server that warms up', () => {
-  /** A node counts on its view of the fleet three seconds after its start. */
+  /** A node relies on its view of the fleet from 3 s after its start. */
   const SETTLED_MS = 3_100
   const COLD = { cold_start_s: 3, cold_per_s: 4 }
 
-  // A server that returns cold gets the requests of every prompt whose home it is, and crashes.
-  test('gets its part at most, and the others serve the rest', async () => {
+  // A server that restarts with a cold cache would get all requests of the prompts it ranks highest for, and crash.
+  test('gets at most its share, and the others serve the rest', async () => {
     const fleet = await start({ engineService: COLD })
     await pause(SETTLED_MS)
     await makeCold(fleet, ['engine-2'])
@@ -177,8 +177,8 @@
     expect(countRuns(fleet, 'engine-2')).toBeLessThanOrEqual(4)
   })
 
-  // A server that turns cold in mid-day was never away: nothing but its entry tells.
-  test('without a new start gets its part at most', async () => {
+  // A server can turn cold without a restart; only its entry in the store shows it.
+  test('without a restart gets at most its share', async () => {
     const fleet = await start({ engineService: COLD })
     await pause(SETTLED_MS)
     await makeCold(fleet, ['engine-2'], {})
@@ -186,8 +186,8 @@
     expect(countRuns(fleet, 'engine-2')).toBeLessThanOrEqual(4)
   })
 
-  // Where all servers of a service are cold, what is over their rate would crash them all.
-  test('and all others with it: what is over the rate is refused at once as not run', async () => {
+  // When all servers of a service are cold, requests above their warm-up rate would crash all of them.
+  test('like all others of its service: requests above the rate are refused at once as not run', async () => {
     const fleet = await start({ engineService: COLD })
     await pause(SETTLED_MS)
     await makeCold(fleet, ['engine-1', 'engine-2'])
--- a/test/requestFaults.test.ts
+++ b/test/requestFaults.test.ts
@@ -11,10 +11,10 @@
 
 type Expected = {
   readonly status: number
-  /** A complete answer, or what the refusal says. */
+  /** `complete`, or the outcome that the refusal states. */
   readonly fate: 'complete' | 'not-run' | 'unknown'
   readonly code?: string
-  /** Requests that each backend server got. */
+  /** Number of requests that each backend server received. */
   readonly requests: readonly number[]
   readonly isBroken?: boolean
 }
@@ -58,25 +58,25 @@
   it.each<[string, RequestKind, readonly (readonly RawStep[])[], Expected]>([
     ['reset after reading, repeatable', 'stock', [[resetConnection], [whole]], complete([1, 1])],
     ['reset after reading, order', 'order', [[resetConnection], [whole]], unknown([1, 0])],
-    ['reset after reading, the backend servers know the key', 'settlement', [[resetConnection], [whole]], complete([1, 1])],
-    ['cut in the headers, repeatable', 'stock', [[cutInHeaders], [whole]], complete([1, 1])],
-    ['cut in the headers, order', 'order', [[cutInHeaders], [whole]], unknown([1, 0])],
+    ['reset after reading, idempotent at the backend servers', 'settlement', [[resetConnection], [whole]], complete([1, 1])],
+    ['closed within the headers, repeatable', 'stock', [[cutInHeaders], [whole]], complete([1, 1])],
+    ['closed within the headers, order', 'order', [[cutInHeaders], [whole]], unknown([1, 0])],
     ['body shorter than declared, repeatable', 'stock', [[shortBody], [whole]], complete([1, 1])],
     ['body shorter than declared, order', 'order', [[shortBody], [whole]], unknown([1, 0], 'answerIncomplete')],
     ['chunks without the last one', 'stock', [[openChunks], [whole]], complete([1, 1])],
     ['chunks without the last one, order', 'order', [[openChunks], [whole]], unknown([1, 0], 'answerIncomplete')],
-    ['body that only the close ends, order', 'order', [[untilClose], [whole]], unknown([1, 0], 'answerIncomplete')],
-    ['model answer that is no whole JSON', 'chatWhole', [[answerWhole('{"ok":')], [whole]], complete([1, 1])],
+    ['body without a length, ended by the close, order', 'order', [[untilClose], [whole]], unknown([1, 0], 'answerIncomplete')],
+    ['model answer with truncated JSON', 'chatWhole', [[answerWhole('{"ok":')], [whole]], complete([1, 1])],
     ['documented refusal, repeatable', 'stock', [[refuseWith('overloaded')], [whole]], complete([1, 1])],
     ['documented refusal, order', 'order', [[refuseWith('leaving')], [whole]], complete([1, 1])],
-    ['documented refusal by all, order', 'order', [[refuseWith('leaving')], [refuseWith('overloaded')]], notRun([1, 1], 'noBackendServer')],
+    ['documented refusal by all servers, order', 'order', [[refuseWith('leaving')], [refuseWith('overloaded')]], notRun([1, 1], 'noBackendServer')],
     ['refusal with another request\'s id, order', 'order', [[answerWhole('{}', { 'x-not-run': 'leaving', 'x-request-id': 'another' }, 503)], [whole]], unknown([1, 0])],
     ['undocumented 503, repeatable', 'stock', [[answerWhole('{}', {}, 503)], [whole]], complete([1, 1])],
     ['crossed answer, repeatable', 'stock', [[foreign], [whole]], complete([1, 1])],
     ['crossed answer, order', 'order', [[foreign], [whole]], unknown([1, 0])],
     ['answer without an id, order', 'order', [[anonymous], [whole]], unknown([1, 0])],
-    ['sent and failed on all', 'stock', [[resetConnection], [resetConnection]], { status: 503, fate: 'unknown', code: 'noBackendServer', requests: [1, 1] }],
-    ['fails more often than attempts allow', 'stock', Array.from({ length: 4 }, () => [resetConnection]), unknown([1, 1, 1, 0])]
+    ['failed on all servers after it was sent', 'stock', [[resetConnection], [resetConnection]], { status: 503, fate: 'unknown', code: 'noBackendServer', requests: [1, 1] }],
+    ['fails more often than the maximum number of attempts', 'stock', Array.from({ length: 4 }, () => [resetConnection]), unknown([1, 1, 1, 0])]
   ])('%s', async (_name, kind, scripts, expected) => {
     const { harness, backends } = await start(scripts)
     const answer = await callRouter(harness.url, kind)
@@ -89,7 +89,7 @@
     expect(harness.recorded.ended).toEqual(harness.recorded.started)
   })
 
-  it.each<[RequestKind, string | null]>([['stock', null], ['order', 'false']])('tells a client library whether a repeat is safe: %s', async (kind, shouldRetry) => {
+  it.each<[RequestKind, string | null]>([['stock', null], ['order', 'false']])('reports to client libraries whether a retry is safe: %s', async (kind, shouldRetry) => {
     const { harness } = await start([[resetConnection]], { dispatch: { maximumAttempts: 1 } })
     const { headers } = await callRouter(harness.url, kind)
     expect(headers.get('x-should-retry')).toBe(shouldRetry)
@@ -97,20 +97,20 @@
     expect(headers.get('x-request-outcome')).toBe('unknown')
   })
 
-  it('gives the claim back when every server refused the connection', async () => {
+  it('releases the claim when every server refused the connection', async () => {
     const { harness } = await start([], { origins: [await findClosedOrigin(), await findClosedOrigin()] })
     const answer = await callRouter(harness.url, 'order')
     expect(readFate(answer.status, answer.text)).toBe('not-run')
     expect(harness.recorded).toMatchObject({ released: ['claim-1'], outcomes: ['backend-1 notSent', 'backend-2 notSent'] })
   })
 
-  it('marks a backend server that refuses since it leaves', async () => {
+  it('marks a backend server as leaving when it refuses for this reason', async () => {
     const { harness } = await start([[refuseWith('leaving')], [whole]])
     await callRouter(harness.url, 'stock')
     expect(harness.recorded).toMatchObject({ marked: ['backend-1'], outcomes: ['backend-1 refused', 'backend-2 complete'] })
   })
 
-  it('keeps the claim and the answer of an order that ran', async () => {
+  it('keeps the claim and stores the answer of an order that ran', async () => {
     const { harness } = await start([[whole]])
     await callRouter(harness.url, 'order')
     expect(harness.recorded.released).toEqual([])
@@ -120,25 +120,25 @@
 
 describe('a stream', () => {
   /*
-   * A shopkeeper reads an answer that stops in mid-sentence and takes it for
-   * the whole one, or reads a sentence twice: the engine's connection broke
-   * after some events, and the rest came from another connection.
+   * Guards against a truncated stream that looks complete, and against events that
+   * arrive twice: the engine's connection breaks after some events, and the rest
+   * comes over another connection.
    */
   it.each<[string, readonly (readonly RawStep[])[], Expected]>([
-    ['whole', [[events]], complete([1])],
-    ['cut and resumed', [[answerEventsThenCut([e1, e2]), answerEvents([e3, END_EVENT])]], complete([2])],
+    ['complete', [[events]], complete([1])],
+    ['broken and resumed', [[answerEventsThenCut([e1, e2]), answerEvents([e3, END_EVENT])]], complete([2])],
     ['resumed with an overlap', [[answerEventsThenCut([e1, e2]), answerEvents([e1, e2, e3, END_EVENT])]], complete([2])],
-    ['cut inside an event', [[answerEventsThenCut([e1, e2.slice(0, 20)]), answerEvents([e2, e3, END_EVENT])]], complete([2])],
-    ['cut twice', [[answerEventsThenCut([e1]), answerEventsThenCut([e2]), answerEvents([e3, END_EVENT])]], complete([3])],
-    ['resumed at the second try', [[answerEventsThenCut([e1]), resetConnection, answerEvents([e2, e3, END_EVENT])]], complete([3])],
+    ['broken within an event', [[answerEventsThenCut([e1, e2.slice(0, 20)]), answerEvents([e2, e3, END_EVENT])]], complete([2])],
+    ['broken twice', [[answerEventsThenCut([e1]), answerEventsThenCut([e2]), answerEvents([e3, END_EVENT])]], complete([3])],
+    ['resumed at the second attempt', [[answerEventsThenCut([e1]), resetConnection, answerEvents([e2, e3, END_EVENT])]], complete([3])],
     ['with every event twice', [[answerEvents([e1, e1, e2, e2, e3, e3, END_EVENT])]], complete([1])],
-    ['with an event left out once', [[answerEventsThenWait([e1, e3]), answerEvents([e2, e3, END_EVENT])]], complete([2])],
+    ['with an event missing once', [[answerEventsThenWait([e1, e3]), answerEvents([e2, e3, END_EVENT])]], complete([2])],
     ['well-formed but without its end marker', [[answerEvents([e1, e2]), answerEvents([e3, END_EVENT])]], complete([2])],
-    ['crossed at the resume', [[answerEventsThenCut([e1, e2]), answerEvents([e3, END_EVENT], { 'x-request-id': 'another' }), answerEvents([e3, END_EVENT])]], complete([3])],
-    ['cut before its first event', [[answerEventsThenCut([]), resetConnection], [events]], complete([2, 1])],
-    ['resumed but gone', [[answerEventsThenCut([e1]), answerWhole('{}', {}, 404)], [events]], { ...unknown([2, 0]), status: 200, isBroken: true }],
-    ['resumed on a dead server', [[answerEventsThenCut([e1]), resetConnection], [events]], { ...unknown([4, 0]), status: 200, isBroken: true }],
-    ['that leaves the same event out for ever', [[answerEvents([e1, e3, END_EVENT])]], { ...unknown([4]), status: 200, isBroken: true }]
+    ['resumed with a crossed answer', [[answerEventsThenCut([e1, e2]), answerEvents([e3, END_EVENT], { 'x-request-id': 'another' }), answerEvents([e3, END_EVENT])]], complete([3])],
+    ['broken before its first event', [[answerEventsThenCut([]), resetConnection], [events]], complete([2, 1])],
+    ['no longer known at the resume', [[answerEventsThenCut([e1]), answerWhole('{}', {}, 404)], [events]], { ...unknown([2, 0]), status: 200, isBroken: true }],
+    ['broken on a server that then resets all connections', [[answerEventsThenCut([e1]), resetConnection], [events]], { ...unknown([4, 0]), status: 200, isBroken: true }],
+    ['that misses the same event at each attempt', [[answerEvents([e1, e3, END_EVENT])]], { ...unknown([4]), status: 200, isBroken: true }]
   ])('%s', async (_name, scripts, expected) => {
     const { harness, backends } = await start(scripts)
     const answer = await callRouter(harness.url, 'chatStream')
@@ -156,11 +156,11 @@
   })
 
   /*
-   * A batch of the night fails although its engine was only busy: the stream
-   * was silent for longer than a connection may be, again and again.
+   * An overnight batch would fail although its engine is only busy: its stream sends
+   * no data for longer than the idle time-out of the connection, several times.
    */
   it('waits for a busy engine beyond the idle time-out', async () => {
-    // A step for each request, so no probes in between.
+    // Each request consumes one step of the script, so probes must not run in between.
     const silent = answerEventsThenWait([])
     const backendClient = createBackendHttp({ connectTimeoutMs: 2_000, answerIdleTimeoutMs: 40 })
     const { harness, backends } = await start([[silent, silent, silent, silent, silent, events], [events]], { backendClient, dispatch: { reachabilityCheckMs: 60_000 } })
@@ -168,7 +168,7 @@
     expect([answer.text, backends.map(({ requests }) => requests.length)]).toEqual([wholeStream, [6, 0]])
   })
 
-  it('is cancelled on the engine when its caller hangs up', async () => {
+  it('is cancelled on the engine when its caller disconnects', async () => {
     const { harness, backends } = await start([[answerEventsThenWait([e1]), whole]])
     const controller = new AbortController()
     const response = await fetch(`${harness.url}/v1/chat/completions`, {
@@ -185,7 +185,7 @@
     expect(harness.recorded.outcomes).toEqual([])
   })
 
-  it('ends with an error when the deadline passes in its middle', async () => {
+  it('ends with an error when the deadline passes during the stream', async () => {
     const { harness } = await start([[answerEventsThenWait([e1])]])
     const answer = await callRouter(harness.url, 'chatStream', { 'x-deadline-ms': '300' })
     expect(answer).toMatchObject({ status: 200, isBroken: true })
@@ -193,11 +193,11 @@
   })
 })
 
-describe('an answer too large to be collected', () => {
+describe('an answer too large to be buffered', () => {
   it.each<[string, RawStep, string, boolean]>([
-    ['whole', whole, '{"ok":true}', false],
-    ['cut', shortBody, '{"ok":', true]
-  ])('is passed on as it comes, and broken off when it is not whole: %s', async (_name, step, text, isBroken) => {
+    ['complete', whole, '{"ok":true}', false],
+    ['truncated', shortBody, '{"ok":', true]
+  ])('is forwarded as it arrives, and its connection is broken when it is incomplete: %s', async (_name, step, text, isBroken) => {
     const { harness } = await start([[step], [whole]], { dispatch: { answerBufferBytes: 3 } })
     expect(await callRouter(harness.url, 'stock')).toMatchObject({ status: 200, text, isBroken })
     expect(harness.dispatch.ledger()).toMatchObject({ complete: isBroken ? 0 : 1, unknown: isBroken ? 1 : 0 })
@@ -217,11 +217,10 @@
 
 describe('a backend server that vanishes without closing its connections', () => {
   /*
-   * A chef waits on the line for a minute and then gets an error, though five
-   * other servers were idle: the server's VM had died, and nothing on the
-   * connection said so.
+   * A caller would wait for a minute and then get an error although five other servers
+   * are idle: the VM of the server died, and its open connections show no error.
    */
-  it.each<[RequestKind, number, readonly number[]]>([['stock', 200, [1, 1]], ['chatWhole', 200, [1, 1]], ['order', 504, [1, 0]]])('is given up for a request that may be repeated alone: %s', async (kind, status, requests) => {
+  it.each<[RequestKind, number, readonly number[]]>([['stock', 200, [1, 1]], ['chatWhole', 200, [1, 1]], ['order', 504, [1, 0]]])('is abandoned only for a request that may be repeated: %s', async (kind, status, requests) => {
     const { harness, backends } = await start([[stayedSilent], [whole]], { unreachable: ['backend-1'], dispatch: { reachabilityCheckMs: 20 } })
     const answer = await callRouter(harness.url, kind, { 'x-deadline-ms': kind === 'order' ? '300' : '15000' })
     expect([answer.status, backends.map((backend) => backend.requests.filter(({ method }) => method === 'POST').length)]).toEqual([status, requests])
@@ -242,7 +241,7 @@
 })
 
 describe('a stream that may not be repeated', () => {
-  it('is kept whole for a repeat of its key', async () => {
+  it('is stored completely for a duplicate request', async () => {
     const { harness } = await start([[events]])
     await fetch(`${harness.url}/v1/chat/completions`, {
       method: 'POST',
