--- a/src/adapters/backendHttp/test.ts
+++ b/src/adapters/backendHttp/test.ts
@@ -1,6 +1,6 @@
 import { afterEach, describe, expect, it } from 'vitest'
 import {
-  answerThenCut, answerWhole, createRawBackend, cutInHeaders, findClosedOrigin, resetConnection, stayedSilent,
+  answerThenClose, answerCompletely, createRawBackend, closeInHeaders, findClosedOrigin, resetConnection, neverAnswer,
   type RawBackend, type RawStep
 } from '../../../test/_lib/createRawBackend.js'
 import type { BackendAnswer, BackendClient, BackendRequest } from '../../types/index.js'
@@ -42,7 +42,7 @@
   it.each<[string, RawStep, string]>([
     ['reset after reading', resetConnection, 'noAnswer'],
     ['closed after reading', (socket) => { socket.end() }, 'noAnswer'],
-    ['cut in the headers', cutInHeaders, 'noAnswer'],
+    ['cut in the headers', closeInHeaders, 'noAnswer'],
     ['not HTTP', writeRaw('hello\r\n\r\n'), 'noAnswer'],
     ['length and chunks at once', writeRaw('HTTP/1.1 200 OK\r\ncontent-length: 2\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n'), 'noAnswer'],
     ['two lengths', writeRaw('HTTP/1.1 200 OK\r\ncontent-length: 2\r\ncontent-length: 3\r\n\r\nabc'), 'noAnswer'],
@@ -60,7 +60,7 @@
   })
 
   it('reports an aborted request as not sent before it was written, and as cancelled after', async () => {
-    const backend = await startBackend(stayedSilent)
+    const backend = await startBackend(neverAnswer)
     const client = startClient()
     const controller = new AbortController()
     const sent = client.send(createRequest(backend.url), controller.signal)
@@ -72,17 +72,17 @@
   })
 
   it.each<[string, RawStep, string]>([
-    ['complete', answerWhole('{"a":1}'), '{"a":1}|end'],
-    ['empty', answerWhole('', {}, 204), '|end'],
+    ['complete', answerCompletely('{"a":1}'), '{"a":1}|end'],
+    ['empty', answerCompletely('', {}, 204), '|end'],
     ['complete after an interim answer', (socket, request) => {
       socket.write('HTTP/1.1 103 Early Hints\r\n\r\n')
-      answerWhole('{}')(socket, request)
+      answerCompletely('{}')(socket, request)
     }, '{}|end'],
-    ['shorter than declared', answerThenCut({ 'content-length': '9' }, 'abc'), 'abc|cut'],
-    ['without its last chunk', answerThenCut({ 'transfer-encoding': 'chunked' }, '3\r\nabc\r\n'), 'abc|cut'],
-    ['cut inside a chunk', answerThenCut({ 'transfer-encoding': 'chunked' }, '9\r\nabc'), 'abc|cut'],
-    ['with a broken chunk', answerThenCut({ 'transfer-encoding': 'chunked' }, '3\r\nabc\r\nzz\r\n'), 'abc|cut'],
-    ['ended by the close alone', answerThenCut({}, 'abc'), 'abc|cut']
+    ['shorter than declared', answerThenClose({ 'content-length': '9' }, 'abc'), 'abc|cut'],
+    ['without its last chunk', answerThenClose({ 'transfer-encoding': 'chunked' }, '3\r\nabc\r\n'), 'abc|cut'],
+    ['cut inside a chunk', answerThenClose({ 'transfer-encoding': 'chunked' }, '9\r\nabc'), 'abc|cut'],
+    ['with a broken chunk', answerThenClose({ 'transfer-encoding': 'chunked' }, '3\r\nabc\r\nzz\r\n'), 'abc|cut'],
+    ['ended by the close alone', answerThenClose({}, 'abc'), 'abc|cut']
   ])('returns a body that is %s', async (_name, step, expected) => {
     const backend = await startBackend(step)
     const result = await startClient().send(createRequest(backend.url), never)
@@ -96,7 +96,7 @@
    */
   it('never reports a request as not sent that the backend server has read', async () => {
     const closeAfter: RawStep = (socket, request) => {
-      answerWhole('{}')(socket, request)
+      answerCompletely('{}')(socket, request)
       socket.destroySoon()
     }
     const backend = await startBackend(closeAfter)
@@ -127,22 +127,22 @@
 describe('readLoad', () => {
   // Guards against sending requests to a frozen server: a load probe that ends as cancelled doesn't count as a failure.
   it('reports a server that does not answer in time', async () => {
-    const backend = await startBackend(stayedSilent)
+    const backend = await startBackend(neverAnswer)
     expect(await startClient().readLoad(backend.url, 50)).toMatchObject({ ok: false, error: { kind: 'noAnswer' } })
   })
 
   it('reads a load report', async () => {
     const report = { running: 3, waiting: 1, slots: 8, leaving: false, ageMs: 250 }
-    const backend = await startBackend(answerWhole(JSON.stringify(report)))
+    const backend = await startBackend(answerCompletely(JSON.stringify(report)))
     expect(await startClient().readLoad(backend.url, 5_000)).toEqual({ ok: true, value: report })
   })
 
   it.each<[string, RawStep]>([
-    ['not JSON', answerWhole('load')],
-    ['without its fields', answerWhole('{"running":1}')],
-    ['negative', answerWhole('{"running":-1,"waiting":0,"slots":1,"leaving":false,"ageMs":0}')],
-    ['an error', answerWhole('{}', {}, 500)],
-    ['cut', answerThenCut({ 'content-length': '99' }, '{"running":1')]
+    ['not JSON', answerCompletely('load')],
+    ['without its fields', answerCompletely('{"running":1}')],
+    ['negative', answerCompletely('{"running":-1,"waiting":0,"slots":1,"leaving":false,"ageMs":0}')],
+    ['an error', answerCompletely('{}', {}, 500)],
+    ['cut', answerThenClose({ 'content-length': '99' }, '{"running":1')]
   ])('refuses a report that is %s', async (_name, step) => {
     const backend = await startBackend(step)
     expect((await startClient().readLoad(backend.url, 5_000)).ok).toBe(false)
--- a/src/services/configuration/sources.test.ts
+++ b/src/services/configuration/sources.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { applyWeight, createStartedFleet, cutOff, failPlatform, type ConfigurationFleet } from '../../../test/_lib/createConfigurationFleet.js'
+import { applyWeight, createStartedFleet, isolateNode, failPlatform, type ConfigurationFleet } from '../../../test/_lib/createConfigurationFleet.js'
 import { createSheet } from '../../../test/_lib/createSheet.js'
 
 /** Nodes that start know no peers and all hold a watch; surplus watchers stop when their watch times out. */
@@ -15,8 +15,8 @@
     fleet.nodes[0]!.platform.setFault((_, name) => name === 'configuration/root' ? 'refused' : 'none')
     await applyWeight(fleet, 2, 1)
     await fleet.run(4_000)
-    cutOff(fleet, fleet.nodes[0]!)
-    fleet.nodes[0]!.see({ ...fleet.nodes[1]!.member(), generation: 3 })
+    isolateNode(fleet, fleet.nodes[0]!)
+    fleet.nodes[0]!.receiveMember({ ...fleet.nodes[1]!.member(), generation: 3 })
     await fleet.run(4_000)
     expect(fleet.nodes[0]!.holder().current()?.sheet).toEqual(createSheet(2))
     expect(fleet.nodes[0]!.holder().pending()).toMatchObject({ generation: 3, reason: expect.stringContaining('platform: unavailable') })
@@ -27,9 +27,9 @@
     const fleet = createStartedFleet(3, 1)
     await applyWeight(fleet, 1, 0)
     await fleet.run(WATCH_TIMEOUT_MS + 4_000)
-    cutOff(fleet, fleet.nodes[2]!)
+    isolateNode(fleet, fleet.nodes[2]!)
     await applyWeight(fleet, 2, 1)
-    fleet.nodes[2]!.see({ ...fleet.nodes[0]!.member(), generation: 2 })
+    fleet.nodes[2]!.receiveMember({ ...fleet.nodes[0]!.member(), generation: 2 })
     await fleet.run(4_000)
     expect(fleet.generations()).toEqual([2, 2, 2])
   })
@@ -61,7 +61,7 @@
   restore: async (fleet, roots) => { if (roots[0] !== undefined) await fleet.overwriteRoot(roots[Math.floor(roots.length / 2)]!) },
   platformDown: async (fleet) => failPlatform(fleet.nodes, 'refused'),
   platformUp: async (fleet) => failPlatform(fleet.nodes, 'none'),
-  cut: async (fleet) => cutOff(fleet, fleet.nodes[0]!),
+  cut: async (fleet) => isolateNode(fleet, fleet.nodes[0]!),
   heal: async (fleet) => fleet.heal(),
   restart: async (fleet) => {
     fleet.nodes[1]!.stop()
--- a/src/services/configurationStore/test.ts
+++ b/src/services/configurationStore/test.ts
@@ -1,5 +1,5 @@
 import { beforeEach, describe, expect, it } from 'vitest'
-import { createHastyClock, createOperator, type Operator } from '../../../test/_lib/createOperator.js'
+import { createImmediateClock, createOperator, type Operator } from '../../../test/_lib/createOperator.js'
 import { createFaultyPlatform, type CallFault, type FaultyPlatform } from '../../../test/_lib/createFaultyPlatform.js'
 import { createSheet } from '../../../test/_lib/createSheet.js'
 import { createMemoryPlatform, type MemoryPlatform } from '../../emulator/createMemoryPlatform/index.js'
@@ -10,7 +10,7 @@
 let petr: Operator
 
 beforeEach(() => {
-  const clock = createHastyClock()
+  const clock = createImmediateClock()
   memory = createMemoryPlatform(clock)
   faulty = createFaultyPlatform(memory)
   jana = createOperator('jana', faulty, clock)
@@ -166,7 +166,7 @@
   it('leaves a chunk that another operator is about to use again', async () => {
     for (let weight = 1; weight <= 2; weight += 1) await petr.apply(createSheet(weight), weight - 1)
     const slow = createFaultyPlatform(memory)
-    const slowPetr = createOperator('slowPetr', slow, createHastyClock())
+    const slowPetr = createOperator('slowPetr', slow, createImmediateClock())
     let nested: Promise<unknown> | undefined
     faulty.setFault(async (call): Promise<CallFault> => {
       if (call === 'delete' && nested === undefined) {
--- a/test/_lib/callRouter.ts
+++ b/test/_lib/callRouter.ts
@@ -3,7 +3,7 @@
 
 export type RequestKind = 'chatStream' | 'chatWhole' | 'stock' | 'order' | 'settlement'
 
-export type SeenAnswer = {
+export type ReceivedAnswer = {
   readonly status: number
   readonly headers: Headers
   readonly text: string
@@ -11,18 +11,18 @@
   readonly isBroken: boolean
 }
 
-const describeChat = (stream: boolean): string =>
+const composeChatBody = (stream: boolean): string =>
   JSON.stringify({ model: MODEL, stream, messages: [{ role: 'system', content: 's' }, { role: 'user', content: 'u' }] })
 
 const requests: { readonly [Kind in RequestKind]: { readonly path: string, readonly body: string, readonly headers: Readonly<Record<string, string>> } } = {
-  chatStream: { path: '/v1/chat/completions', body: describeChat(true), headers: { 'content-type': 'application/json' } },
-  chatWhole: { path: '/v1/chat/completions', body: describeChat(false), headers: { 'content-type': 'application/json' } },
+  chatStream: { path: '/v1/chat/completions', body: composeChatBody(true), headers: { 'content-type': 'application/json' } },
+  chatWhole: { path: '/v1/chat/completions', body: composeChatBody(false), headers: { 'content-type': 'application/json' } },
   stock: { path: '/stock/penne?size=2', body: 'q', headers: {} },
   order: { path: '/stock/orders', body: 'o', headers: { 'idempotency-key': 'order-1' } },
   settlement: { path: '/settlements', body: 's', headers: { 'idempotency-key': 'settlement-1' } }
 }
 
-const readBody = async (response: Response): Promise<Pick<SeenAnswer, 'text' | 'isBroken'>> => {
+const readBody = async (response: Response): Promise<Pick<ReceivedAnswer, 'text' | 'isBroken'>> => {
   const decoder = new TextDecoder()
   let text = ''
   try {
@@ -33,7 +33,7 @@
   }
 }
 
-export const callRouter = async (url: string, kind: RequestKind, headers: Readonly<Record<string, string>> = {}, signal?: AbortSignal): Promise<SeenAnswer> => {
+export const callRouter = async (url: string, kind: RequestKind, headers: Readonly<Record<string, string>> = {}, signal?: AbortSignal): Promise<ReceivedAnswer> => {
   const request = requests[kind]
   const response = await fetch(url + request.path, {
     method: 'POST',
--- a/test/_lib/createClaimNodes.ts
+++ b/test/_lib/createClaimNodes.ts
@@ -43,13 +43,13 @@
   pruneEvery: 1_000_000
 }
 
-type Station = { readonly handlers: Map<string, (message: never) => PeerReply | Promise<PeerReply>>, isReachable: boolean }
+type Endpoint = { readonly handlers: Map<string, (message: never) => PeerReply | Promise<PeerReply>>, isReachable: boolean }
 
 export const createClaimNodes = (count: number, overrides: Partial<ClaimsOptions> = {}, seed = 1): ClaimNodes => {
   const clock = createManualClock(WALL_TIME)
   const platform = createMemoryPlatform(clock)
   const random = createSeededRandom(seed)
-  const stations = new Map<number, Station>()
+  const endpoints = new Map<number, Endpoint>()
   const members: readonly Member[] = Array.from({ length: count }, (_, index) => ({
     nodeId: `router-${index}`,
     incarnation: 1,
@@ -60,12 +60,12 @@
   }))
 
   const createTransport = (port: number): PeerTransport => {
-    const station: Station = { handlers: new Map(), isReachable: true }
-    stations.set(port, station)
+    const endpoint: Endpoint = { handlers: new Map(), isReachable: true }
+    endpoints.set(port, endpoint)
     return {
       send: () => {},
       request: async (address, message: PeerMessage, timeoutMs) => {
-        const target = stations.get(address.port)
+        const target = endpoints.get(address.port)
         const handler = target?.handlers.get(message.kind)
         if (target?.isReachable !== true || handler === undefined) return failure({ kind: 'unreachable', message: 'cut' })
         return await new Promise((resolve) => {
@@ -73,7 +73,7 @@
           Promise.resolve(handler(message as never)).then((reply) => { resolve(success(reply)) })
         })
       },
-      handle: (kind, handler) => { station.handlers.set(kind, handler as never) },
+      handle: (kind, handler) => { endpoint.handlers.set(kind, handler as never) },
       close: async () => {}
     }
   }
@@ -90,11 +90,11 @@
     }
     const transport = createTransport(index)
     const { api } = createClaims({ clock, random, platform: faulty, transport, membership, logger: silentLogger, options: { ...claimOptions, ...overrides } })
-    return { nodeId: self.nodeId, claims: api, platform: faulty, setReachable: (isReachable) => { stations.get(index)!.isReachable = isReachable } }
+    return { nodeId: self.nodeId, claims: api, platform: faulty, setReachable: (isReachable) => { endpoints.get(index)!.isReachable = isReachable } }
   }
 
   const run = async (ms: number): Promise<void> => {
-    for (let passed = 0; passed < ms; passed += 1) {
+    for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += 1) {
       await clock.advance(1)
       await new Promise((resolve) => { setImmediate(resolve) })
     }
@@ -102,9 +102,9 @@
 
   const settle = async <Value>(promise: Promise<Value>): Promise<Value> => {
     const progress = { isSettled: false }
-    const note = (): void => { progress.isSettled = true }
-    promise.then(note, note)
-    for (let passed = 0; !progress.isSettled && passed < MAXIMUM_SETTLE_MS; passed += 1) await run(1)
+    const markSettled = (): void => { progress.isSettled = true }
+    promise.then(markSettled, markSettled)
+    for (let elapsedMs = 0; !progress.isSettled && elapsedMs < MAXIMUM_SETTLE_MS; elapsedMs += 1) await run(1)
     if (!progress.isSettled) throw new Error('promise did not settle within 20 s of manual clock time')
     return await promise
   }
--- a/test/_lib/createConfigurationFleet.ts
+++ b/test/_lib/createConfigurationFleet.ts
@@ -11,7 +11,7 @@
 import { createConfiguration } from '../../src/services/configuration/index.js'
 import { createFaultyPlatform, type CallFault, type FaultyPlatform } from './createFaultyPlatform.js'
 import { createSheet } from './createSheet.js'
-import { createHastyClock, createOperator, type Operator } from './createOperator.js'
+import { createImmediateClock, createOperator, type Operator } from './createOperator.js'
 import type { ConfigurationHolder, Logger, Member, PeerAddress, Platform } from '../../src/types/index.js'
 
 export type FleetNode = {
@@ -23,7 +23,7 @@
   /** Stops the node and discards its memory, as when its VM is replaced; `start` starts it again. */
   readonly stop: () => void
   readonly member: () => Member
-  readonly see: (member: Member) => void
+  readonly receiveMember: (member: Member) => void
 }
 
 export type ConfigurationFleet = {
@@ -53,7 +53,7 @@
     const availabilityZone = `venkov-${'abcdefgh'[index % zones]}`
     const address: PeerAddress = { host: nodeId, port: 1 }
     const faulty = createFaultyPlatform(platform)
-    const seen = new Map<string, Member>()
+    const knownMembers = new Map<string, Member>()
     let listeners: (() => void)[] = []
     let starts = 0
     let service: ReturnType<typeof createConfiguration> | undefined
@@ -61,7 +61,7 @@
     const build = (): ReturnType<typeof createConfiguration> => createConfiguration({
       platform: faulty,
       peerTransport: network.createTransport(address),
-      peers: () => [...seen.values()],
+      peers: () => [...knownMembers.values()],
       onPeerChange: (listener) => { listeners.push(listener) },
       clock,
       random: createSeededRandom(seed * 1000 + index + starts * 100),
@@ -83,11 +83,11 @@
         service?.stop?.()
         service = undefined
         listeners = []
-        seen.clear()
+        knownMembers.clear()
       },
       member: () => ({ nodeId, incarnation: starts, address, availabilityZone, state: service === undefined ? 'dead' : 'live', generation: service?.api.generation() ?? 0 }),
-      see: (member) => {
-        seen.set(member.nodeId, member)
+      receiveMember: (member) => {
+        knownMembers.set(member.nodeId, member)
         for (const listener of listeners) listener()
       }
     }
@@ -99,7 +99,7 @@
   const gossip = (): void => {
     for (const node of nodes) {
       if (node.member().state === 'dead') continue
-      for (const other of nodes) if (other !== node && !isCut(node, other)) node.see(other.member())
+      for (const other of nodes) if (other !== node && !isCut(node, other)) node.receiveMember(other.member())
     }
   }
 
@@ -112,9 +112,9 @@
   return {
     nodes,
     platform,
-    operator: createOperator('jana', platform, createHastyClock()),
+    operator: createOperator('jana', platform, createImmediateClock()),
     run: async (durationMs) => {
-      for (let passed = 0; passed < durationMs; passed += GOSSIP_INTERVAL_MS) {
+      for (let elapsedMs = 0; elapsedMs < durationMs; elapsedMs += GOSSIP_INTERVAL_MS) {
         gossip()
         await clock.advanceAndSettle(GOSSIP_INTERVAL_MS)
       }
@@ -151,6 +151,6 @@
   if (outcome.kind !== 'applied') throw new Error(`sheet apply failed: ${outcome.kind}`)
 }
 
-export const cutOff = (fleet: ConfigurationFleet, node: FleetNode): void => {
+export const isolateNode = (fleet: ConfigurationFleet, node: FleetNode): void => {
   for (const other of fleet.nodes) if (other !== node) fleet.cut(node, other)
 }
--- a/test/_lib/createDispatchHarness.ts
+++ b/test/_lib/createDispatchHarness.ts
@@ -47,7 +47,7 @@
 }
 
 /** Calls that the fakes recorded. */
-export type Recorded = {
+export type RecordedCalls = {
   readonly started: string[]
   readonly ended: string[]
   readonly outcomes: string[]
@@ -75,7 +75,7 @@
 
 export type TestDispatch = {
   readonly dispatch: Dispatch
-  readonly recorded: Recorded
+  readonly recorded: RecordedCalls
   readonly dependencies: DispatchDependencies
 }
 
@@ -84,7 +84,7 @@
   readonly close: () => Promise<void>
 }
 
-const createFakes = (options: HarnessOptions, configuration: Configuration | undefined, recorded: Recorded): Omit<DispatchDependencies, 'clock' | 'random' | 'backendClient' | 'logger' | 'metrics'> => ({
+const createFakes = (options: HarnessOptions, configuration: Configuration | undefined, recorded: RecordedCalls): Omit<DispatchDependencies, 'clock' | 'random' | 'backendClient' | 'logger' | 'metrics'> => ({
   configuration: { current: () => configuration, generation: () => 1, onChange: () => {}, pending: () => undefined },
   admission: {
     admit: async () => options.admissionRefusal === undefined ? success({ finish: () => { recorded.finishedTickets += 1 } }) : failure(options.admissionRefusal),
@@ -128,7 +128,7 @@
 /** Creates dispatch with its fakes, without a caller listener. */
 export const createTestDispatch = (options: HarnessOptions): TestDispatch => {
   const configuration = 'configuration' in options ? options.configuration : createConfiguration(options.origins)
-  const recorded: Recorded = { started: [], ended: [], outcomes: [], marked: [], released: [], completed: [], stored: [], hints: [], finishedTickets: 0 }
+  const recorded: RecordedCalls = { started: [], ended: [], outcomes: [], marked: [], released: [], completed: [], stored: [], hints: [], finishedTickets: 0 }
   const dependencies: DispatchDependencies = {
     clock: createSystemClock(),
     random: createSeededRandom(7),
--- a/test/_lib/createFaultProxy.ts
+++ b/test/_lib/createFaultProxy.ts
@@ -31,14 +31,14 @@
 
 type Direction = 'toClient' | 'toServer'
 
-type Piece = { readonly from: Socket, readonly to: Socket, readonly bytes: Buffer, readonly direction: Direction, readonly passed: { bytes: number }, readonly hold: (action: () => void) => void, readonly retry: () => void }
+type Chunk = { readonly from: Socket, readonly to: Socket, readonly bytes: Buffer, readonly direction: Direction, readonly passed: { bytes: number }, readonly hold: (action: () => void) => void, readonly retry: () => void }
 
 const resetPair = (from: Socket, to: Socket): void => {
   from.resetAndDestroy()
   to.resetAndDestroy()
 }
 
-const write = ({ from, to, bytes, passed }: Piece): void => {
+const write = ({ from, to, bytes, passed }: Chunk): void => {
   passed.bytes += bytes.byteLength
   if (to.destroyed) return
   if (to.write(bytes)) return
@@ -46,21 +46,21 @@
   to.once('drain', () => from.resume())
 }
 
-const writeUntilCut = (piece: Piece, limit: number): void => {
-  const room = limit - piece.passed.bytes
-  if (piece.bytes.byteLength < room) return write(piece)
-  if (room <= 0) return resetPair(piece.from, piece.to)
-  piece.passed.bytes = limit
-  piece.to.write(piece.bytes.subarray(0, room), () => { resetPair(piece.from, piece.to) })
+const writeUntilCut = (chunk: Chunk, limit: number): void => {
+  const room = limit - chunk.passed.bytes
+  if (chunk.bytes.byteLength < room) return write(chunk)
+  if (room <= 0) return resetPair(chunk.from, chunk.to)
+  chunk.passed.bytes = limit
+  chunk.to.write(chunk.bytes.subarray(0, room), () => { resetPair(chunk.from, chunk.to) })
 }
 
-const forwards: { readonly [Kind in LinkFault['kind']]: (piece: Piece, fault: Extract<LinkFault, { kind: Kind }>) => void } = {
+const faultHandlers: { readonly [Kind in LinkFault['kind']]: (piece: Chunk, fault: Extract<LinkFault, { kind: Kind }>) => void } = {
   none: write,
   refuse: ({ from, to }) => { resetPair(from, to) },
   blackhole: ({ hold, retry }) => { hold(retry) },
-  delay: (piece, { ms }) => { setTimeout(() => { write(piece) }, ms) },
-  cutAfter: (piece, { direction, bytes }) => { direction === piece.direction ? writeUntilCut(piece, bytes) : write(piece) },
-  holdDirection: (piece, { direction }) => { direction === piece.direction ? piece.hold(piece.retry) : write(piece) }
+  delay: (chunk, { ms }) => { setTimeout(() => { write(chunk) }, ms) },
+  cutAfter: (chunk, { direction, bytes }) => { direction === chunk.direction ? writeUntilCut(chunk, bytes) : write(chunk) },
+  holdDirection: (chunk, { direction }) => { direction === chunk.direction ? chunk.hold(chunk.retry) : write(chunk) }
 }
 
 /**
@@ -86,14 +86,14 @@
 
   const forward = (from: Socket, to: Socket, direction: Direction): void => {
     const passed = { bytes: 0 }
-    const pass = (bytes: Buffer): void => {
-      const handler = forwards[fault.kind] as (piece: Piece, fault: LinkFault) => void
-      handler({ from, to, bytes, direction, passed, hold, retry: () => { pass(bytes) } }, fault)
+    const forwardChunk = (bytes: Buffer): void => {
+      const handler = faultHandlers[fault.kind] as (piece: Chunk, fault: LinkFault) => void
+      handler({ from, to, bytes, direction, passed, hold, retry: () => { forwardChunk(bytes) } }, fault)
     }
-    const passOrHold = (action: () => void): void => { isHeld(direction) ? hold(() => { passOrHold(action) }) : action() }
-    from.on('data', pass)
-    from.on('end', () => { passOrHold(() => { to.end() }) })
-    from.on('close', () => { passOrHold(() => { to.destroy() }) })
+    const runOrHold = (action: () => void): void => { isHeld(direction) ? hold(() => { runOrHold(action) }) : action() }
+    from.on('data', forwardChunk)
+    from.on('end', () => { runOrHold(() => { to.end() }) })
+    from.on('close', () => { runOrHold(() => { to.destroy() }) })
   }
 
   const server = createServer({ allowHalfOpen: true }, (client) => {
--- a/test/_lib/createFaultyPlatform.ts
+++ b/test/_lib/createFaultyPlatform.ts
@@ -32,7 +32,7 @@
   let paused: (() => void)[] = []
   let late: Call<unknown>[] = []
 
-  const pass = async <Value>(kind: string, name: string, isWrite: boolean, call: Call<Value>): Promise<Result<Value, PlatformError>> => {
+  const callWithFault = async <Value>(kind: string, name: string, isWrite: boolean, call: Call<Value>): Promise<Result<Value, PlatformError>> => {
     const lost = failure<PlatformError>(isWrite ? { kind: 'outcomeUnknown', message: 'reply lost' } : { kind: 'unavailable', message: 'reply lost' })
     const faults: Readonly<Record<CallFault, Call<Value>>> = {
       none: call,
@@ -56,12 +56,12 @@
 
   return {
     ...platform,
-    readObject: (name) => pass('read', name, false, () => platform.readObject(name)),
-    createObject: (name, bytes) => pass('create', name, true, () => platform.createObject(name, bytes)),
-    updateObject: (name, bytes, expected) => pass('update', name, true, () => platform.updateObject(name, bytes, expected)),
-    deleteObject: (name, expected) => pass('delete', name, true, () => platform.deleteObject(name, expected)),
-    listObjects: (prefix, options) => pass('list', prefix, false, () => platform.listObjects(prefix, options)),
-    watchObjects: (prefix, revision, timeoutMs) => pass('watch', prefix, false, () => platform.watchObjects(prefix, revision, timeoutMs)),
+    readObject: (name) => callWithFault('read', name, false, () => platform.readObject(name)),
+    createObject: (name, bytes) => callWithFault('create', name, true, () => platform.createObject(name, bytes)),
+    updateObject: (name, bytes, expected) => callWithFault('update', name, true, () => platform.updateObject(name, bytes, expected)),
+    deleteObject: (name, expected) => callWithFault('delete', name, true, () => platform.deleteObject(name, expected)),
+    listObjects: (prefix, options) => callWithFault('list', prefix, false, () => platform.listObjects(prefix, options)),
+    watchObjects: (prefix, revision, timeoutMs) => callWithFault('watch', prefix, false, () => platform.watchObjects(prefix, revision, timeoutMs)),
     setFault: (choose) => { chooseFault = choose },
     resume: () => {
       const resumed = paused
--- a/test/_lib/createOperator.ts
+++ b/test/_lib/createOperator.ts
@@ -27,7 +27,7 @@
 }
 
 /** Creates a clock whose timers fire at once, for tests of retries that do not depend on the delay. */
-export const createHastyClock = (): Clock => ({
+export const createImmediateClock = (): Clock => ({
   now: () => 0,
   wallTime: () => 1_700_000_000_000,
   setTimer: (_, callback) => {
--- a/test/_lib/createRawBackend.ts
+++ b/test/_lib/createRawBackend.ts
@@ -76,7 +76,7 @@
 
 export const resetConnection: RawStep = (socket) => { socket.resetAndDestroy() }
 
-export const stayedSilent: RawStep = () => {}
+export const neverAnswer: RawStep = () => {}
 
 const formatHead = (request: RawRequest, status: number, headers: Readonly<Record<string, string>>): string => {
   const all = { 'x-request-id': request.headers['x-request-id'] ?? '', ...headers }
@@ -86,18 +86,18 @@
 const formatChunk = (text: string): string => `${Buffer.byteLength(text).toString(16)}\r\n${text}\r\n`
 
 /** Sends a complete answer with its content-length. */
-export const answerWhole = (body: string, headers: Readonly<Record<string, string>> = {}, status = 200): RawStep => (socket, request) => {
+export const answerCompletely = (body: string, headers: Readonly<Record<string, string>> = {}, status = 200): RawStep => (socket, request) => {
   socket.write(formatHead(request, status, { 'content-type': 'application/json', 'content-length': String(Buffer.byteLength(body)), ...headers }) + body)
 }
 
 /** Writes the text as given and closes the connection before the answer is complete. */
-export const answerThenCut = (headers: Readonly<Record<string, string>>, body: string): RawStep => (socket, request) => {
+export const answerThenClose = (headers: Readonly<Record<string, string>>, body: string): RawStep => (socket, request) => {
   socket.end(formatHead(request, 200, headers) + body)
 }
 
-export const cutInHeaders: RawStep = (socket) => { socket.end('HTTP/1.1 200 Answer\r\ncontent-ty') }
+export const closeInHeaders: RawStep = (socket) => { socket.end('HTTP/1.1 200 Answer\r\ncontent-ty') }
 
-export const refuseWith = (reason: string): RawStep => answerWhole('{}', { 'x-not-run': reason }, 503)
+export const refuseWith = (reason: string): RawStep => answerCompletely('{}', { 'x-not-run': reason }, 503)
 
 export const formatEvent = (id: number, text: string): string =>
   `id: ${id}\ndata: ${JSON.stringify({ id: 'c', object: 'chat.completion.chunk', created: 1, model: 'm', choices: [{ index: 0, delta: { content: text }, finish_reason: null }] })}\n\n`
@@ -112,7 +112,7 @@
 }
 
 /** Sends events in a chunked body and closes the connection before the last chunk. */
-export const answerEventsThenCut = (events: readonly string[]): RawStep => (socket, request) => {
+export const answerEventsThenClose = (events: readonly string[]): RawStep => (socket, request) => {
   socket.end(formatHead(request, 200, STREAM_HEADERS) + events.map(formatChunk).join(''))
 }
 
--- a/test/_lib/sendChat.ts
+++ b/test/_lib/sendChat.ts
@@ -3,7 +3,7 @@
 import type { JournalEntry } from './startFleet.js'
 import { CALLER_KEY, MODEL } from './startFleet.js'
 
-export type ChatEnd = {
+export type ChatResult = {
   readonly question: string
   readonly requestId: string | undefined
   /** The text the caller accepts as the complete answer; `undefined` when it received an error. */
@@ -11,17 +11,17 @@
   /** Outcome that a refusal states. */
   readonly outcome: string | undefined
   /** Body of the error that the caller received instead of an answer. */
-  readonly told: string
+  readonly errorBody: string
 }
 
 export type SentChat = {
   /** Resolves when the first bytes of the answer have arrived, or when it has ended. */
   readonly whenStarted: Promise<void>
-  readonly whenEnded: Promise<ChatEnd>
+  readonly whenEnded: Promise<ChatResult>
 }
 
 /** Characters kept from the end of a broken stream: enough to show its error event. */
-const ERROR_LENGTH = 300
+const MAXIMUM_ERROR_CHARACTERS = 300
 const END_MARKER = 'data: [DONE]\n\n'
 
 const createMessages = (question: string) => [{ role: 'user', content: question }]
@@ -37,20 +37,20 @@
   return body.endsWith(END_MARKER) ? readStreamedText(body) : body
 }
 
-const readEnd = async (question: string, response: Response, stream: boolean, start: () => void): Promise<ChatEnd> => {
+const readResult = async (question: string, response: Response, stream: boolean, markStarted: () => void): Promise<ChatResult> => {
   const requestId = response.headers.get('x-request-id') ?? undefined
   const decoder = new TextDecoder()
   let body = ''
   try {
     for await (const bytes of response.body ?? []) {
       body += decoder.decode(bytes, { stream: true })
-      start()
+      markStarted()
     }
   } catch {
-    return { question, requestId, text: undefined, outcome: undefined, told: body.slice(-ERROR_LENGTH) }
+    return { question, requestId, text: undefined, outcome: undefined, errorBody: body.slice(-MAXIMUM_ERROR_CHARACTERS) }
   }
-  if (response.status === 200) return { question, requestId, text: readText(body, stream), outcome: undefined, told: '' }
-  return { question, requestId, text: undefined, outcome: response.headers.get('x-request-outcome') ?? undefined, told: body }
+  if (response.status === 200) return { question, requestId, text: readText(body, stream), outcome: undefined, errorBody: '' }
+  return { question, requestId, text: undefined, outcome: response.headers.get('x-request-outcome') ?? undefined, errorBody: body }
 }
 
 /**
@@ -62,21 +62,21 @@
  * @returns Promises of the start and the end of the answer.
  */
 export const sendChat = (caller: string, question: string, stream: boolean): SentChat => {
-  let start = (): void => {}
-  const whenStarted = new Promise<void>((resolve) => { start = resolve })
-  const ask = async (): Promise<ChatEnd> => {
+  let markStarted = (): void => {}
+  const whenStarted = new Promise<void>((resolve) => { markStarted = resolve })
+  const sendRequest = async (): Promise<ChatResult> => {
     const response = await fetch(`${caller}/v1/chat/completions`, {
       method: 'POST',
       headers: { authorization: `Bearer ${CALLER_KEY}`, 'content-type': 'application/json' },
       body: JSON.stringify({ model: MODEL, stream, messages: createMessages(question) })
     })
-    return await readEnd(question, response, stream, start)
+    return await readResult(question, response, stream, markStarted)
   }
-  return { whenStarted, whenEnded: ask().finally(start) }
+  return { whenStarted, whenEnded: sendRequest().finally(markStarted) }
 }
 
 /** Lists wrong answers and false refusals, by comparing what callers received with the stand-ins' answers and journals. */
-export const judgeChats = (ends: readonly ChatEnd[], journal: readonly JournalEntry[]): readonly string[] => {
+export const findChatProblems = (ends: readonly ChatResult[], journal: readonly JournalEntry[]): readonly string[] => {
   const ran = new Set(journal.map(({ requestId }) => requestId))
   const wrong = ends
     .filter(({ question, text }) => text !== undefined && text !== composeAnswer(createMessages(question)).text)
--- a/test/_lib/startFleet.ts
+++ b/test/_lib/startFleet.ts
@@ -136,10 +136,10 @@
 }
 
 /** Registers a process to be killed when the fleet stops. */
-type Keep = <Item extends { readonly process: RunningProcess }>(item: Item) => Item
+type RegisterProcess = <Item extends { readonly process: RunningProcess }>(item: Item) => Item
 
-const startBackend = async (kind: 'service' | 'engine', service: string, index: number, flags: readonly string[], keep: Keep): Promise<FleetBackend> => {
-  const { process } = keep({ process: await startProcess(['emulate', kind, ...flags]) })
+const startBackend = async (kind: 'service' | 'engine', service: string, index: number, flags: readonly string[], registerProcess: RegisterProcess): Promise<FleetBackend> => {
+  const { process } = registerProcess({ process: await startProcess(['emulate', kind, ...flags]) })
   const link = await createFaultProxy(portOf(process.ready['listening']))
   const server = { name: `${service}-${index + 1}`, service, url: link.url, availabilityZone: zoneOf(index), slots: SLOTS }
   return { server, process, link, ...createControl(process) }
@@ -173,9 +173,9 @@
 
 type RouterLinks = { readonly platformLink: FaultProxy, readonly peerLink: FaultProxy }
 
-const startRouter = async (index: number, { platformLink, peerLink }: RouterLinks, seeds: string, flags: readonly string[], keep: Keep): Promise<FleetRouter> => {
+const startRouter = async (index: number, { platformLink, peerLink }: RouterLinks, seeds: string, flags: readonly string[], registerProcess: RegisterProcess): Promise<FleetRouter> => {
   const nodeId = `router-${index + 1}`
-  const { process } = keep({
+  const { process } = registerProcess({
     process: await startOnFreePort((peerPort) => {
       peerLink.setTarget(peerPort)
       return startProcess([
@@ -203,25 +203,25 @@
  */
 export const startFleet = async (options: FleetOptions = {}): Promise<Fleet> => {
   const { routers: routerCount = 2, services: serviceCount = 1, engines: engineCount = 0 } = options
-  const stops: (() => Promise<void>)[] = []
-  const stop = async (): Promise<void> => { for (const end of stops.reverse()) await end() }
-  const keep: Keep = (item) => {
-    stops.push(() => item.process.kill())
+  const cleanups: (() => Promise<void>)[] = []
+  const stop = async (): Promise<void> => { for (const end of cleanups.reverse()) await end() }
+  const registerProcess: RegisterProcess = (item) => {
+    cleanups.push(() => item.process.kill())
     return item
   }
-  const keepLink = (link: FaultProxy): FaultProxy => {
-    stops.push(() => link.close())
+  const registerLink = (link: FaultProxy): FaultProxy => {
+    cleanups.push(() => link.close())
     return link
   }
   try {
     const platformProcess = await startProcess(['emulate', 'platform'])
-    keep({ process: platformProcess })
+    registerProcess({ process: platformProcess })
     const platformUrl = String(platformProcess.ready['listening'])
     const platformPort = portOf(platformUrl)
-    const services = await Promise.all(Array.from({ length: serviceCount }, (_, index) => startBackend('service', 'ordering', index, options.serviceFlags ?? [], keep)))
-    const engines = await Promise.all(Array.from({ length: engineCount }, (_, index) => startBackend('engine', 'order-desk', index, options.engineFlags ?? [], keep)))
+    const services = await Promise.all(Array.from({ length: serviceCount }, (_, index) => startBackend('service', 'ordering', index, options.serviceFlags ?? [], registerProcess)))
+    const engines = await Promise.all(Array.from({ length: engineCount }, (_, index) => startBackend('engine', 'order-desk', index, options.engineFlags ?? [], registerProcess)))
     const backends = [...services, ...engines]
-    for (const backend of backends) keepLink(backend.link)
+    for (const backend of backends) registerLink(backend.link)
     const sheets = [createSheet(backends)]
     await applySheet(platformUrl, sheets[0]!, 0)
     const changeSheet = async (change: (sheet: Sheet) => Sheet): Promise<void> => {
@@ -231,10 +231,10 @@
     }
     const links: RouterLinks[] = []
     for (let index = 0; index < routerCount; index += 1) {
-      links.push({ platformLink: keepLink(await createFaultProxy(platformPort)), peerLink: keepLink(await createFaultProxy(0)) })
+      links.push({ platformLink: registerLink(await createFaultProxy(platformPort)), peerLink: registerLink(await createFaultProxy(0)) })
     }
     const seeds = links.map(({ peerLink }) => peerLink.address).join(',')
-    const routers = await Promise.all(links.map((link, index) => startRouter(index, link, seeds, options.routerFlags ?? [], keep)))
+    const routers = await Promise.all(links.map((link, index) => startRouter(index, link, seeds, options.routerFlags ?? [], registerProcess)))
     for (const router of routers) await waitFor(`${router.nodeId} to settle`, async () => isSettled(await router.readStatus(), routerCount, backends.length))
     const readJournals = async (): Promise<readonly JournalEntry[]> => (await Promise.all(backends.map((backend) => backend.readJournal()))).flat()
     const platform: FleetPlatform = {
--- a/test/contract/peerTransport.test.ts
+++ b/test/contract/peerTransport.test.ts
@@ -6,14 +6,14 @@
 import { createMemoryPeerNetwork } from '../../src/emulator/createMemoryPeerNetwork/index.js'
 import type { PeerAddress, PeerTransport } from '../../src/types/index.js'
 
-type Counted = PeerTransport & { readonly address: () => PeerAddress, readonly bytesSent: () => ReadonlyMap<string, number> }
+type CountingTransport = PeerTransport & { readonly address: () => PeerAddress, readonly bytesSent: () => ReadonlyMap<string, number> }
 
 const clock = createSystemClock()
 const random = createSystemRandom()
 const TIMEOUT_MS = 20_000
 const SHORT_TIMEOUT_MS = 50
 
-const createTcp = async (): Promise<Counted> => {
+const createTcp = async (): Promise<CountingTransport> => {
   const transport = createPeerTcp({ host: '127.0.0.1', port: 0, fleetKey: 'a fleet key for tests', maximumFrameBytes: 1_000_000, clock, random })
   await transport.listen()
   return transport
@@ -22,7 +22,7 @@
 const createMemory = () => {
   const network = createMemoryPeerNetwork({ clock })
   let port = 1
-  return async (): Promise<Counted> => network.createTransport({ host: 'memory', port: port++ })
+  return async (): Promise<CountingTransport> => network.createTransport({ host: 'memory', port: port++ })
 }
 
 describe.each([
@@ -87,7 +87,7 @@
 
   it.each([
     { case: 'there is no handler', prepareHandler: () => {} },
-    { case: 'the handler throws', prepareHandler: (other: Counted) => other.handle('rootRequest', () => { throw new Error('broken') }) }
+    { case: 'the handler throws', prepareHandler: (other: CountingTransport) => other.handle('rootRequest', () => { throw new Error('broken') }) }
   ])('reports a request as unhandled when $case', async ({ prepareHandler }) => {
     const { one, other } = await createPair()
     prepareHandler(other)
--- a/test/engineFaults.test.ts
+++ b/test/engineFaults.test.ts
@@ -32,7 +32,7 @@
   .join('')
 
 /** Sends a chat and returns the text that the caller accepts as its answer; `undefined` when it receives an error. */
-const ask = async (url: string, chat: number, stream: boolean): Promise<string | undefined> => {
+const sendChat = async (url: string, chat: number, stream: boolean): Promise<string | undefined> => {
   try {
     const response = await fetch(`${url}/v1/chat/completions`, {
       method: 'POST',
@@ -72,7 +72,7 @@
   ])('answers each chat wholly or not at all: %j, stream %s', async (fault, stream, answered) => {
     const { engines, harness } = await startEngines()
     expect(engines[0]?.faults.apply(fault)).toBe(true)
-    const answers = await Promise.all(Array.from({ length: CHATS }, (_, chat) => ask(harness.url, chat, stream)))
+    const answers = await Promise.all(Array.from({ length: CHATS }, (_, chat) => sendChat(harness.url, chat, stream)))
     const expected = answers.map((answer, chat) => answer === undefined ? undefined : composeAnswer(createMessages(chat)).text)
     expect(answers).toEqual(expected)
     expect(answers.filter((answer) => answer !== undefined).length).toBe(answered === 'all' ? CHATS : 0)
--- a/test/integration/answers.test.ts
+++ b/test/integration/answers.test.ts
@@ -3,8 +3,8 @@
  * request or an error, while engines and links fail.
  */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest'
-import { judgeChats, sendChat, type SentChat } from '../_lib/sendChat.js'
-import { judgeLedgers } from '../_lib/sendOrder.js'
+import { findChatProblems, sendChat, type SentChat } from '../_lib/sendChat.js'
+import { findLedgerProblems } from '../_lib/sendOrder.js'
 import { startFleet, type Fleet, type FleetBackend } from '../_lib/startFleet.js'
 import { waitFor } from '../_lib/waitFor.js'
 
@@ -55,7 +55,7 @@
   { name: 'streams that close normally without their end marker', before: setFaults({ fault: 'truncateAnswer', count: 4, after: 5 }) }
 ]
 
-const isOpenNowhere = async (fleet: Fleet): Promise<boolean> => {
+const hasNoOpenRequests = async (fleet: Fleet): Promise<boolean> => {
   const statuses = await Promise.all(fleet.routers.map((router) => router.readStatus()))
   return statuses.every(({ ledger }) => ledger.open === 0)
 }
@@ -78,14 +78,14 @@
       await amid(fleet.engines)
     }
     const ends = await Promise.all(chats.map(({ whenEnded }) => whenEnded))
-    await waitFor('all requests to end', () => isOpenNowhere(fleet))
+    await waitFor('all requests to end', () => hasNoOpenRequests(fleet))
     // A frozen engine can't return its journal.
     for (const engine of fleet.engines) engine.process.resume()
     const remaining = fleet.engines.filter(({ process }) => !process.hasExited())
     const journals = await Promise.all(remaining.map((engine) => engine.readJournal()))
-    expect(judgeChats(ends, journals.flat())).toEqual([])
-    expect(await judgeLedgers(fleet.routers)).toEqual([])
-    const errors = ends.filter(({ text }) => text === undefined).map(({ told }) => told)
+    expect(findChatProblems(ends, journals.flat())).toEqual([])
+    expect(await findLedgerProblems(fleet.routers)).toEqual([])
+    const errors = ends.filter(({ text }) => text === undefined).map(({ errorBody }) => errorBody)
     if (loses) expect(errors.length).toBeLessThan(CHATS)
     else expect(errors).toEqual([])
   })
--- a/test/integration/cutZone.test.ts
+++ b/test/integration/cutZone.test.ts
@@ -6,34 +6,34 @@
 import { afterAll, afterEach, beforeAll, describe, expect, it } from 'vitest'
 import type { LinkFault } from '../_lib/createFaultProxy.js'
 import { runOperatorCommand } from '../_lib/runOperatorCommand.js'
-import { judgeChats, sendChat } from '../_lib/sendChat.js'
-import { judgeLedgers, judgeOrders, sendLookup, sendOrder } from '../_lib/sendOrder.js'
-import type { OrderEnd } from '../_lib/sendOrder.js'
+import { findChatProblems, sendChat } from '../_lib/sendChat.js'
+import { findLedgerProblems, findOrderProblems, sendLookup, sendOrder } from '../_lib/sendOrder.js'
+import type { OrderResult } from '../_lib/sendOrder.js'
 import { startFleet } from '../_lib/startFleet.js'
 import type { Fleet, FleetRouter } from '../_lib/startFleet.js'
 import { waitFor } from '../_lib/waitFor.js'
 
 /** Delays answers enough that lookups are in flight while links and sheets change. */
 const SERVICE_FLAGS = ['--delay', '500']
-const STOPPED = 'ordering-1'
-const SAYS_THAT_IT_LEAVES = 1
-const BEHIND_THE_CUT = 2
+const STOPPED_SERVER = 'ordering-1'
+const LEAVING_SERVER = 1
+const UNREACHABLE_SERVER = 2
 const LOOKUPS = 8
 
 let fleet: Fleet
-let near: FleetRouter
-let cutOff: FleetRouter
+let connectedRouter: FleetRouter
+let isolatedRouter: FleetRouter
 
 beforeAll(async () => {
   fleet = await startFleet({ routers: 2, services: 3, engines: 1, serviceFlags: SERVICE_FLAGS })
-  near = fleet.routers[0]!
-  cutOff = fleet.routers[1]!
+  connectedRouter = fleet.routers[0]!
+  isolatedRouter = fleet.routers[1]!
 })
 afterAll(async () => { await fleet.stop() })
 
 /** Cuts both peer links, which separates the two routers, and the platform link of the cut-off one. */
-const setCut = (fault: LinkFault): void => {
-  for (const link of [near.peerLink, cutOff.peerLink, cutOff.platformLink]) link.setFault(fault)
+const setPartition = (fault: LinkFault): void => {
+  for (const link of [connectedRouter.peerLink, isolatedRouter.peerLink, isolatedRouter.platformLink]) link.setFault(fault)
 }
 
 const readState = async (router: FleetRouter, name: string): Promise<string | undefined> =>
@@ -41,19 +41,19 @@
 
 const isInUse = (state: string | undefined): boolean => state === 'live' || state === 'slowStart'
 
-const isAlone = async (router: FleetRouter): Promise<boolean> =>
+const isIsolated = async (router: FleetRouter): Promise<boolean> =>
   (await router.readStatus()).members.filter(({ state }) => state === 'live').length === 1
 
 const isHealed = async (): Promise<boolean> => {
   const statuses = await Promise.all(fleet.routers.map((router) => router.readStatus()))
-  const isWhole = statuses.every(({ members }) => members.filter(({ state }) => state === 'live').length === fleet.routers.length)
-  return isWhole && statuses[0]!.generation === statuses[1]!.generation && statuses.every(({ ledger }) => ledger.open === 0)
+  const areAllLive = statuses.every(({ members }) => members.filter(({ state }) => state === 'live').length === fleet.routers.length)
+  return areAllLive && statuses[0]!.generation === statuses[1]!.generation && statuses.every(({ ledger }) => ledger.open === 0)
 }
 
-const sendLookups = (router: FleetRouter, prefix: string): Promise<readonly OrderEnd[]> =>
+const sendLookups = (router: FleetRouter, prefix: string): Promise<readonly OrderResult[]> =>
   Promise.all(Array.from({ length: LOOKUPS }, (_, index) => sendLookup(router.caller, `${prefix}-${index}`)))
 
-const describeFailures = (ends: readonly OrderEnd[]): readonly string[] =>
+const describeFailures = (ends: readonly OrderResult[]): readonly string[] =>
   ends.filter(({ end }) => end.kind !== 'answered' || end.status !== 200).map((end) => JSON.stringify(end))
 
 /** Counts a router's finished attempts at a backend server, including refused ones. */
@@ -66,73 +66,73 @@
 
 describe('a zone that is cut off', () => {
   afterEach(async () => {
-    setCut({ kind: 'none' })
+    setPartition({ kind: 'none' })
     await waitFor('the cut to heal', isHealed)
   })
 
   // A partitioned zone would refuse lookups that it can answer, or run orders that may run in another zone.
   it.each(['blackhole', 'refuse'] as const)('answers repeatable requests and runs no order, with the link fault %s', async (kind) => {
-    const { generation } = await cutOff.readStatus()
-    const lost = fleet.services[BEHIND_THE_CUT]!
-    for (const setFault of [setCut, lost.link.setFault]) setFault({ kind })
-    const orders = await Promise.all([1, 2, 3].map((index) => sendOrder(cutOff.caller, `order-${kind}-${index}`)))
-    const lookups = [...await sendLookups(cutOff, `at-once-${kind}`)]
-    await waitFor('the router to know that it is alone', () => isAlone(cutOff))
-    await waitFor('the lost server to be out of use', async () => !isInUse(await readState(cutOff, lost.server.name)))
-    lookups.push(...await sendLookups(cutOff, `alone-${kind}`))
-    const chats = await Promise.all([true, false].map((stream) => sendChat(cutOff.caller, `Is there penne, ${kind}?`, stream).whenEnded))
-    orders.push(await sendOrder(cutOff.caller, `order-${kind}-4`))
-    const status = await cutOff.readStatus()
-    lost.link.setFault({ kind: 'none' })
+    const { generation } = await isolatedRouter.readStatus()
+    const unreachable = fleet.services[UNREACHABLE_SERVER]!
+    for (const setFault of [setPartition, unreachable.link.setFault]) setFault({ kind })
+    const orders = await Promise.all([1, 2, 3].map((index) => sendOrder(isolatedRouter.caller, `order-${kind}-${index}`)))
+    const lookups = [...await sendLookups(isolatedRouter, `at-once-${kind}`)]
+    await waitFor('the router to know that it is alone', () => isIsolated(isolatedRouter))
+    await waitFor('the lost server to be out of use', async () => !isInUse(await readState(isolatedRouter, unreachable.server.name)))
+    lookups.push(...await sendLookups(isolatedRouter, `alone-${kind}`))
+    const chats = await Promise.all([true, false].map((stream) => sendChat(isolatedRouter.caller, `Is there penne, ${kind}?`, stream).whenEnded))
+    orders.push(await sendOrder(isolatedRouter.caller, `order-${kind}-4`))
+    const status = await isolatedRouter.readStatus()
+    unreachable.link.setFault({ kind: 'none' })
     expect(describeFailures(lookups)).toEqual([])
     expect(chats.filter(({ text }) => text === undefined)).toEqual([])
     for (const { end } of orders) expect(end).toMatchObject({ kind: 'refused', outcome: 'not-run', reason: 'platformUnavailable' })
     expect(status).toMatchObject({ generation, ready: true })
     const journal = await fleet.readJournals()
     expect(journal.filter(({ idempotencyKey }) => idempotencyKey?.startsWith(`order-${kind}`))).toEqual([])
-    expect([...judgeOrders([...orders, ...lookups], journal), ...judgeChats(chats, journal)]).toEqual([])
-    expect(await judgeLedgers(fleet.routers)).toEqual([])
-    for (const router of fleet.routers) await waitFor('the lost server to be back', async () => isInUse(await readState(router, lost.server.name)))
+    expect([...findOrderProblems([...orders, ...lookups], journal), ...findChatProblems(chats, journal)]).toEqual([])
+    expect(await findLedgerProblems(fleet.routers)).toEqual([])
+    for (const router of fleet.routers) await waitFor('the lost server to be back', async () => isInUse(await readState(router, unreachable.server.name)))
   })
 
   // A planned stop that is applied while a zone is partitioned would break requests there, or never reach it.
   it('gets a planned stop applied meanwhile once it is healed, and is listed as behind until then', async () => {
-    setCut({ kind: 'blackhole' })
-    const { generation } = await cutOff.readStatus()
-    const before = [near, cutOff].map((router) => sendLookups(router, `before-${router.nodeId}`))
-    await fleet.changeSheet((sheet) => ({ ...sheet, plannedStops: [{ name: 'firmware', backendServer: STOPPED, startsAt: Date.now() - 1_000 }] }))
-    await waitFor('the planned stop at the router that reaches the platform', async () => await readState(near, STOPPED) === 'leaving')
+    setPartition({ kind: 'blackhole' })
+    const { generation } = await isolatedRouter.readStatus()
+    const before = [connectedRouter, isolatedRouter].map((router) => sendLookups(router, `before-${router.nodeId}`))
+    await fleet.changeSheet((sheet) => ({ ...sheet, plannedStops: [{ name: 'firmware', backendServer: STOPPED_SERVER, startsAt: Date.now() - 1_000 }] }))
+    await waitFor('the planned stop at the router that reaches the platform', async () => await readState(connectedRouter, STOPPED_SERVER) === 'leaving')
     const ends = (await Promise.all(before)).flat()
-    const attemptsNear = await countAttempts(near, STOPPED)
-    ends.push(...await sendLookups(near, 'during'))
-    expect(await countAttempts(near, STOPPED)).toBe(attemptsNear)
-    expect(await cutOff.readStatus()).toMatchObject({ generation, backendServers: expect.arrayContaining([expect.objectContaining({ backendServer: STOPPED, state: 'live' })]) })
+    const connectedAttempts = await countAttempts(connectedRouter, STOPPED_SERVER)
+    ends.push(...await sendLookups(connectedRouter, 'during'))
+    expect(await countAttempts(connectedRouter, STOPPED_SERVER)).toBe(connectedAttempts)
+    expect(await isolatedRouter.readStatus()).toMatchObject({ generation, backendServers: expect.arrayContaining([expect.objectContaining({ backendServer: STOPPED_SERVER, state: 'live' })]) })
     const status = await runOperatorCommand(fleet, 'jana', 'sheet', 'status')
     expect(status).toMatchObject({ code: 6, stdout: expect.stringMatching(/router-2.*behind/) })
-    const whileHealing = sendLookups(cutOff, 'healing')
-    setCut({ kind: 'none' })
-    await waitFor('the planned stop in the healed zone', async () => await readState(cutOff, STOPPED) === 'leaving')
+    const whileHealing = sendLookups(isolatedRouter, 'healing')
+    setPartition({ kind: 'none' })
+    await waitFor('the planned stop in the healed zone', async () => await readState(isolatedRouter, STOPPED_SERVER) === 'leaving')
     ends.push(...await whileHealing)
-    expect((await cutOff.readStatus()).generation).toBe(generation + 1)
-    const attempts = await countAttempts(cutOff, STOPPED)
-    expect(Math.min(attempts, attemptsNear)).toBeGreaterThan(0)
-    ends.push(...await sendLookups(cutOff, 'healed'))
-    expect(await countAttempts(cutOff, STOPPED)).toBe(attempts)
+    expect((await isolatedRouter.readStatus()).generation).toBe(generation + 1)
+    const attempts = await countAttempts(isolatedRouter, STOPPED_SERVER)
+    expect(Math.min(attempts, connectedAttempts)).toBeGreaterThan(0)
+    ends.push(...await sendLookups(isolatedRouter, 'healed'))
+    expect(await countAttempts(isolatedRouter, STOPPED_SERVER)).toBe(attempts)
     expect(describeFailures(ends)).toEqual([])
-    expect(judgeOrders(ends, await fleet.readJournals())).toEqual([])
+    expect(findOrderProblems(ends, await fleet.readJournals())).toEqual([])
   })
 
   // A server that is replaced while its zone is partitioned would still get requests there.
   it('sends no new request to a server that reports itself as leaving', async () => {
-    setCut({ kind: 'blackhole' })
-    await waitFor('the router to know that it is alone', () => isAlone(cutOff))
-    const leaving = fleet.services[SAYS_THAT_IT_LEAVES]!
+    setPartition({ kind: 'blackhole' })
+    await waitFor('the router to know that it is alone', () => isIsolated(isolatedRouter))
+    const leaving = fleet.services[LEAVING_SERVER]!
     await leaving.setFault({ fault: 'leaving', on: true })
-    const ends = [...await sendLookups(cutOff, 'first')]
-    await waitFor('the leaving mark in the partitioned zone', async () => await readState(cutOff, leaving.server.name) === 'leaving')
-    const attempts = await countAttempts(cutOff, leaving.server.name)
-    ends.push(...await sendLookups(cutOff, 'next'))
-    expect(await countAttempts(cutOff, leaving.server.name)).toBe(attempts)
+    const ends = [...await sendLookups(isolatedRouter, 'first')]
+    await waitFor('the leaving mark in the partitioned zone', async () => await readState(isolatedRouter, leaving.server.name) === 'leaving')
+    const attempts = await countAttempts(isolatedRouter, leaving.server.name)
+    ends.push(...await sendLookups(isolatedRouter, 'next'))
+    expect(await countAttempts(isolatedRouter, leaving.server.name)).toBe(attempts)
     expect(describeFailures(ends)).toEqual([])
   })
 })
--- a/test/integration/documentedCommands.test.ts
+++ b/test/integration/documentedCommands.test.ts
@@ -19,15 +19,15 @@
   })
 })
 
-const listAll = (command: Command): readonly Command[] => [command, ...command.commands.flatMap(listAll)]
-const listCommands = (program: Command): readonly Command[] => listAll(program).filter(({ commands }) => commands.length === 0)
+const listCommandTree = (command: Command): readonly Command[] => [command, ...command.commands.flatMap(listCommandTree)]
+const listCommands = (program: Command): readonly Command[] => listCommandTree(program).filter(({ commands }) => commands.length === 0)
 const namePath = (command: Command): string => command.parent === null ? '' : `${namePath(command.parent)} ${command.name()}`.trim()
 
 /** Parses the words as the program does, without running the command, and returns the problem if there is one. */
 const findProblem = (words: readonly string[]): string | undefined => {
   const program = createProgram()
   let isReached = false
-  for (const command of listAll(program)) command.exitOverride((error) => { throw error }).configureOutput({ writeErr: () => undefined })
+  for (const command of listCommandTree(program)) command.exitOverride((error) => { throw error }).configureOutput({ writeErr: () => undefined })
   for (const command of listCommands(program)) command.action(() => { isReached = true })
   try {
     program.parse(words, { from: 'user' })
--- a/test/integration/leaving.test.ts
+++ b/test/integration/leaving.test.ts
@@ -1,28 +1,28 @@
 /** Tests backend servers and routers that leave: they get no new requests, and requests in flight complete. */
 import { afterEach, describe, expect, it } from 'vitest'
-import { judgeOrders, sendLookup, sendOrder } from '../_lib/sendOrder.js'
-import type { OrderEnd } from '../_lib/sendOrder.js'
+import { findOrderProblems, sendLookup, sendOrder } from '../_lib/sendOrder.js'
+import type { OrderResult } from '../_lib/sendOrder.js'
 import { startFleet } from '../_lib/startFleet.js'
 import type { Fleet } from '../_lib/startFleet.js'
 import { waitFor } from '../_lib/waitFor.js'
 
 /** Delays answers enough that requests are in flight when a server starts to leave. */
 const SERVICE_FLAGS = ['--delay', '2000']
-const LEAVING = 'ordering-1'
+const LEAVING_SERVER = 'ordering-1'
 
 const callerAt = (fleet: Fleet, index: number): string => fleet.routers[index % fleet.routers.length]!.caller
 
-const sendLookups = (fleet: Fleet, count: number, prefix: string): Promise<readonly OrderEnd[]> =>
+const sendLookups = (fleet: Fleet, count: number, prefix: string): Promise<readonly OrderResult[]> =>
   Promise.all(Array.from({ length: count }, (_, index) => sendLookup(callerAt(fleet, index), `${prefix}-${index}`)))
 
 const countRuns = async (fleet: Fleet): Promise<number> => (await fleet.services[0]!.readJournal()).length
 
 const isLeavingEverywhere = async (fleet: Fleet): Promise<boolean> => {
   const statuses = await Promise.all(fleet.routers.map((router) => router.readStatus()))
-  return statuses.every(({ backendServers }) => backendServers.some(({ backendServer, state }) => backendServer === LEAVING && state === 'leaving'))
+  return statuses.every(({ backendServers }) => backendServers.some(({ backendServer, state }) => backendServer === LEAVING_SERVER && state === 'leaving'))
 }
 
-const countAnswered = (ends: readonly OrderEnd[]): number => ends.filter(({ end }) => end.kind === 'answered' && end.status === 200).length
+const countAnswered = (ends: readonly OrderResult[]): number => ends.filter(({ end }) => end.kind === 'answered' && end.status === 200).length
 
 const sources: readonly { readonly name: string, readonly announce: (fleet: Fleet) => Promise<void> }[] = [
   { name: 'its own load report', announce: (fleet) => fleet.services[0]!.setFault({ fault: 'leaving', on: true }) },
@@ -35,7 +35,7 @@
   },
   {
     name: 'a planned stop',
-    announce: (fleet) => fleet.changeSheet((sheet) => ({ ...sheet, plannedStops: [{ name: 'firmware', backendServer: LEAVING, startsAt: Date.now() - 1_000 }] }))
+    announce: (fleet) => fleet.changeSheet((sheet) => ({ ...sheet, plannedStops: [{ name: 'firmware', backendServer: LEAVING_SERVER, startsAt: Date.now() - 1_000 }] }))
   }
 ]
 
@@ -71,6 +71,6 @@
     expect(await fleet.routers[0]!.process.whenExited).toBe(0)
     const repeats = await Promise.all(keys.map((key) => sendOrder(callerAt(fleet!, 1), key)))
     expect(repeats.map(({ end }) => end)).toEqual(ends.map(({ end }) => end))
-    expect(judgeOrders([...ends, ...repeats], await fleet.readJournals())).toEqual([])
+    expect(findOrderProblems([...ends, ...repeats], await fleet.readJournals())).toEqual([])
   })
 })
--- a/test/integration/loadUnderFaults.test.ts
+++ b/test/integration/loadUnderFaults.test.ts
@@ -33,15 +33,15 @@
 const startSeveral = (count: number, ...args: readonly string[]): Promise<readonly RunningProcess[]> =>
   Promise.all(Array.from({ length: count }, () => start(...args)))
 
-const read = ({ ready }: RunningProcess, name: string): string => String(ready[name])
+const readAddress = ({ ready }: RunningProcess, name: string): string => String(ready[name])
 
 const startRouter = (nodeId: string, platform: RunningProcess, ...args: readonly string[]): Promise<RunningProcess> =>
-  start('router', '--node-id', nodeId, '--availability-zone', 'a', '--platform-url', read(platform, 'listening'), '--log-level', 'error',
+  start('router', '--node-id', nodeId, '--availability-zone', 'a', '--platform-url', readAddress(platform, 'listening'), '--log-level', 'error',
     '--caller-port', '0', '--operator-port', '0', '--peer-port', '0', '--shutdown-delay-ms', '0', ...args)
 
 const buildSheet = (engines: readonly RunningProcess[], services: readonly RunningProcess[]): Sheet => {
   const describeServers = (service: string, servers: readonly RunningProcess[], slots: number): Sheet['backendServers'] =>
-    servers.map((server, index) => ({ name: `${service}-${index}`, service, url: read(server, 'listening'), availabilityZone: 'a', slots }))
+    servers.map((server, index) => ({ name: `${service}-${index}`, service, url: readAddress(server, 'listening'), availabilityZone: 'a', slots }))
   const route = { backendIdempotent: false, deadlineSeconds: 20, priority: 'interactive' } as const
   return {
     clientAccounts: KEYS.map((key, index) => ({ name: `account-${index}`, weight: 1, keyHashes: [computeSha256(key)] })),
@@ -57,17 +57,17 @@
   }
 }
 
-const orderFault = async (server: RunningProcess, order: FaultOrder): Promise<void> => {
-  await fetch(`${read(server, 'control')}/faults`, { method: 'POST', headers: { 'content-type': 'application/json' }, body: JSON.stringify(order) })
+const injectFault = async (server: RunningProcess, order: FaultOrder): Promise<void> => {
+  await fetch(`${readAddress(server, 'control')}/faults`, { method: 'POST', headers: { 'content-type': 'application/json' }, body: JSON.stringify(order) })
 }
 
 const readJournal = async (server: RunningProcess): Promise<readonly JournalEntry[]> => {
-  const page = await (await fetch(`${read(server, 'control')}/journal`)).json() as { readonly entries: readonly JournalEntry[] }
+  const page = await (await fetch(`${readAddress(server, 'control')}/journal`)).json() as { readonly entries: readonly JournalEntry[] }
   return page.entries
 }
 
 const waitUntilReady = async (router: RunningProcess): Promise<void> => {
-  const isReady = async (): Promise<boolean> => (await fetch(`${read(router, 'operator')}/readyz`)).ok
+  const isReady = async (): Promise<boolean> => (await fetch(`${readAddress(router, 'operator')}/readyz`)).ok
   await vi.waitUntil(isReady, { timeout: 60_000 })
 }
 
@@ -91,20 +91,20 @@
   const platform = await start('emulate', 'platform')
   const engines = await startSeveral(3, 'emulate', 'engine', '--decode-interval', '2', '--slots', '16')
   const services = await startSeveral(2, 'emulate', 'service', '--slots', '64')
-  const client = createPlatformHttp({ url: read(platform, 'listening'), timeoutMs: 10_000 })
+  const client = createPlatformHttp({ url: readAddress(platform, 'listening'), timeoutMs: 10_000 })
   await createOperator('lena', client, clock).apply(buildSheet(engines, services), 0)
   await client.close()
   const first = await startRouter('r1', platform)
-  const second = await startRouter('r2', platform, '--seed-peers', read(first, 'peer'))
+  const second = await startRouter('r2', platform, '--seed-peers', readAddress(first, 'peer'))
   await Promise.all([first, second].map(waitUntilReady))
-  for (const engine of engines) for (const fault of ENGINE_FAULTS) await orderFault(engine, fault)
-  for (const service of services) for (const fault of SERVICE_FAULTS) await orderFault(service, fault)
+  for (const engine of engines) for (const fault of ENGINE_FAULTS) await injectFault(engine, fault)
+  for (const service of services) for (const fault of SERVICE_FAULTS) await injectFault(service, fault)
 
   const results: Result[] = []
   const plan = planLoad({ ...DEFAULT_LOAD_PLAN, rate: 60, durationMs: 60_000, maximumRequests: 400, accounts: KEYS.length, meanThinkTimeMs: 500, mix: { chat: 60, overnight: 5, lookup: 15, order: 20 } }, createSeededRandom(SEED))
   const summary = await runLoad(plan, {
     clock,
-    routers: [first, second].map((router) => read(router, 'caller')),
+    routers: [first, second].map((router) => readAddress(router, 'caller')),
     keys: KEYS,
     sendChatHints: true,
     timeoutMs: 60_000,
@@ -157,7 +157,7 @@
 
   it('has used up all injected faults of the services', async () => {
     const standIns = started.filter(({ ready }) => ready['kind'] === 'service')
-    const left = await Promise.all(standIns.map(async (server) => await (await fetch(`${read(server, 'control')}/faults`)).json()))
-    expect(left).toEqual(standIns.map(() => ({})))
+    const remainingFaults = await Promise.all(standIns.map(async (server) => await (await fetch(`${readAddress(server, 'control')}/faults`)).json()))
+    expect(remainingFaults).toEqual(standIns.map(() => ({})))
   })
 })
--- a/test/integration/refusals.test.ts
+++ b/test/integration/refusals.test.ts
@@ -5,8 +5,8 @@
  */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest'
 import type { LinkFault } from '../_lib/createFaultProxy.js'
-import { judgeLedgers, judgeOrders, sendLookup, sendOrder } from '../_lib/sendOrder.js'
-import type { OrderEnd } from '../_lib/sendOrder.js'
+import { findLedgerProblems, findOrderProblems, sendLookup, sendOrder } from '../_lib/sendOrder.js'
+import type { OrderResult } from '../_lib/sendOrder.js'
 import { startFleet } from '../_lib/startFleet.js'
 import type { Fleet } from '../_lib/startFleet.js'
 import { waitFor } from '../_lib/waitFor.js'
@@ -44,7 +44,7 @@
   for (const { platformLink } of fleet.routers) platformLink.setFault({ kind: 'none' })
 }
 
-const inject = async (fleet: Fleet, { service, link, platformLink }: Case): Promise<void> => {
+const injectFaults = async (fleet: Fleet, { service, link, platformLink }: Case): Promise<void> => {
   for (const backend of fleet.services) {
     if (service !== undefined) await backend.setFault(service)
     if (link !== undefined) backend.link.setFault(link)
@@ -52,14 +52,14 @@
   if (platformLink !== undefined) for (const router of fleet.routers) router.platformLink.setFault(platformLink)
 }
 
-const sendBoth = async (fleet: Fleet): Promise<readonly OrderEnd[]> => {
+const sendOrdersAndLookups = async (fleet: Fleet): Promise<readonly OrderResult[]> => {
   const callerAt = (index: number): string => fleet.routers[index % fleet.routers.length]!.caller
   const orders = Array.from({ length: ORDERS }, (_, index) => sendOrder(callerAt(index), `order-${index}`))
   const lookups = Array.from({ length: LOOKUPS }, (_, index) => sendLookup(callerAt(index), `stock-${index}`))
   return await Promise.all([...orders, ...lookups])
 }
 
-const isOpenNowhere = async (fleet: Fleet): Promise<boolean> => {
+const hasNoOpenRequests = async (fleet: Fleet): Promise<boolean> => {
   const statuses = await Promise.all(fleet.routers.map((router) => router.readStatus()))
   return statuses.every(({ ledger }) => ledger.open === 0)
 }
@@ -71,12 +71,12 @@
   afterEach(async () => { await fleet.stop() })
 
   it.each(cases)('match the journals under $name', async (entry) => {
-    await inject(fleet, entry)
-    const ends = await sendBoth(fleet)
+    await injectFaults(fleet, entry)
+    const ends = await sendOrdersAndLookups(fleet)
     await clearFaults(fleet)
-    await waitFor('all requests to end', () => isOpenNowhere(fleet))
-    expect(judgeOrders(ends, await fleet.readJournals())).toEqual([])
-    expect(await judgeLedgers(fleet.routers)).toEqual([])
+    await waitFor('all requests to end', () => hasNoOpenRequests(fleet))
+    expect(findOrderProblems(ends, await fleet.readJournals())).toEqual([])
+    expect(await findLedgerProblems(fleet.routers)).toEqual([])
     expect(ends.filter(({ end }) => end.kind === 'cut')).toEqual([])
   })
 })
--- a/test/integration/sheetCommands.test.ts
+++ b/test/integration/sheetCommands.test.ts
@@ -65,7 +65,7 @@
   return router.listen()
 }
 
-const startSilentServer = async (): Promise<string> => {
+const startServerWithoutRoutes = async (): Promise<string> => {
   const server: FastifyInstance = fastify()
   closers.push(() => server.close())
   return server.listen({ host: '127.0.0.1', port: 0 })
@@ -127,8 +127,8 @@
   })
 
   it('waits until a router has the generation', async () => {
-    let asked = 0
-    const url = await startRouter(() => ({ generation: asked++ < 2 ? 0 : 1 }))
+    let statusReads = 0
+    const url = await startRouter(() => ({ generation: statusReads++ < 2 ? 0 : 1 }))
     expect(await run('sheet', 'apply', 'heavier', '--wait', '30', '--router', url)).toMatchObject({ code: 0, out: expect.stringContaining('in force on all 1 routers') })
   })
 
@@ -142,8 +142,8 @@
   it('lists a router that does not answer, and exits with 6', async () => {
     await run('sheet', 'apply', 'heavier')
     const good = await startRouter(() => ({}))
-    const silent = await startSilentServer()
-    const { code, out } = await run('sheet', 'status', '--router', good, '--router', silent)
+    const serverWithoutStatus = await startServerWithoutRoutes()
+    const { code, out } = await run('sheet', 'status', '--router', good, '--router', serverWithoutStatus)
     expect({ code, out }).toMatchObject({ code: 6, out: expect.stringContaining('NOT confirmed everywhere') })
   })
 
@@ -195,8 +195,8 @@
     ['exits with 6 while a router still sends requests to the server', { state: 'live' }, 6]
   ])('%s', async (_, status, code) => {
     await run('sheet', 'apply', 'heavier')
-    let asked = 0
-    const url = await startRouter(() => ({ generation: asked++ === 0 ? 1 : 2, backendServers: [createServerStatus(status)] }))
+    let statusReads = 0
+    const url = await startRouter(() => ({ generation: statusReads++ === 0 ? 1 : 2, backendServers: [createServerStatus(status)] }))
     expect(await run('drain', 'model-a1', '--wait', '0', '--router', url)).toMatchObject({ code })
   })
 })
--- a/test/openaiClient.test.ts
+++ b/test/openaiClient.test.ts
@@ -2,7 +2,7 @@
 import { afterEach, describe, expect, it } from 'vitest'
 import { CALLER_KEY, createDispatchHarness, MODEL } from './_lib/createDispatchHarness.js'
 import {
-  answerEvents, answerEventsThenCut, answerThenCut, answerWhole, createRawBackend, END_EVENT, formatEvent, refuseWith, resetConnection,
+  answerEvents, answerEventsThenClose, answerThenClose, answerCompletely, createRawBackend, END_EVENT, formatEvent, refuseWith, resetConnection,
   type RawBackend, type RawStep
 } from './_lib/createRawBackend.js'
 
@@ -21,26 +21,26 @@
 }
 
 const MESSAGES = [{ role: 'user' as const, content: 'How long does penne keep?' }]
-const WHOLE = JSON.stringify({ id: 'c', object: 'chat.completion', created: 1, model: MODEL, choices: [{ index: 0, message: { role: 'assistant', content: 'Two years.' }, finish_reason: 'stop' }] })
+const COMPLETE_ANSWER = JSON.stringify({ id: 'c', object: 'chat.completion', created: 1, model: MODEL, choices: [{ index: 0, message: { role: 'assistant', content: 'Two years.' }, finish_reason: 'stop' }] })
 
-const askWhole = async (client: OpenAI): Promise<string | null | undefined> =>
+const requestAnswer = async (client: OpenAI): Promise<string | null | undefined> =>
   (await client.chat.completions.create({ model: MODEL, messages: MESSAGES })).choices[0]?.message.content
 
-const askStream = async (client: OpenAI, read: (text: string) => void): Promise<void> => {
+const requestStream = async (client: OpenAI, read: (text: string) => void): Promise<void> => {
   const stream = await client.chat.completions.create({ model: MODEL, messages: MESSAGES, stream: true })
   for await (const chunk of stream) read(chunk.choices[0]?.delta.content ?? '')
 }
 
 describe('the official client library', () => {
   it('reads a non-streamed answer', async () => {
-    const { client } = await start([answerWhole(WHOLE)])
-    expect(await askWhole(client)).toBe('Two years.')
+    const { client } = await start([answerCompletely(COMPLETE_ANSWER)])
+    expect(await requestAnswer(client)).toBe('Two years.')
   })
 
   it('reads a stream that was broken and resumed without any gap', async () => {
-    const { client } = await start([answerEventsThenCut([formatEvent(1, 'Two ')]), answerEvents([formatEvent(1, 'Two '), formatEvent(2, 'years.'), END_EVENT])])
+    const { client } = await start([answerEventsThenClose([formatEvent(1, 'Two ')]), answerEvents([formatEvent(1, 'Two '), formatEvent(2, 'years.'), END_EVENT])])
     let text = ''
-    await askStream(client, (part) => { text += part })
+    await requestStream(client, (part) => { text += part })
     expect(text).toBe('Two years.')
   })
 
@@ -49,33 +49,33 @@
    * and the library reads the end of the connection as the end of the answer.
    */
   it.each<[string, readonly RawStep[]]>([
-    ['broken and no longer known to the server', [answerEventsThenCut([formatEvent(1, 'Two ')]), answerWhole('{}', {}, 404)]],
-    ['broken on a server that died', [answerEventsThenCut([formatEvent(1, 'Two ')]), resetConnection]],
-    ['ended without its end marker', [answerEvents([formatEvent(1, 'Two ')]), answerWhole('{}', {}, 404)]],
+    ['broken and no longer known to the server', [answerEventsThenClose([formatEvent(1, 'Two ')]), answerCompletely('{}', {}, 404)]],
+    ['broken on a server that died', [answerEventsThenClose([formatEvent(1, 'Two ')]), resetConnection]],
+    ['ended without its end marker', [answerEvents([formatEvent(1, 'Two ')]), answerCompletely('{}', {}, 404)]],
     ['reset before its first event', [resetConnection]]
   ])('throws when a stream was %s', async (_name, steps) => {
     const { client } = await start(steps)
-    await expect(askStream(client, () => {})).rejects.toThrow(OpenAI.APIError)
+    await expect(requestStream(client, () => {})).rejects.toThrow(OpenAI.APIError)
   })
 
   it('throws when a non-streamed answer was truncated', async () => {
-    const { client } = await start([answerThenCut({ 'content-type': 'application/json', 'content-length': '900' }, WHOLE)])
-    await expect(askWhole(client)).rejects.toThrow(OpenAI.APIError)
+    const { client } = await start([answerThenClose({ 'content-type': 'application/json', 'content-length': '900' }, COMPLETE_ANSWER)])
+    await expect(requestAnswer(client)).rejects.toThrow(OpenAI.APIError)
   })
 
   it('shows the reason and the outcome of a refusal', async () => {
     const { client } = await start([refuseWith('overloaded')])
-    await expect(askWhole(client)).rejects.toMatchObject({ status: 503, code: 'noBackendServer', error: { outcome: 'not-run' } })
+    await expect(requestAnswer(client)).rejects.toMatchObject({ status: 503, code: 'noBackendServer', error: { outcome: 'not-run' } })
   })
 
   it('retries by itself after a request was refused as not run', async () => {
-    const { client, backend } = await start([refuseWith('overloaded'), answerWhole(WHOLE)], 1)
-    expect(await askWhole(client)).toBe('Two years.')
+    const { client, backend } = await start([refuseWith('overloaded'), answerCompletely(COMPLETE_ANSWER)], 1)
+    expect(await requestAnswer(client)).toBe('Two years.')
     expect(backend.requests.length).toBe(2)
   })
 
   it('does not retry a request that was refused permanently', async () => {
-    const { client, backend } = await start([answerWhole(WHOLE)], 2)
+    const { client, backend } = await start([answerCompletely(COMPLETE_ANSWER)], 2)
     await expect(client.chat.completions.create({ model: 'unknown', messages: MESSAGES })).rejects.toThrow(OpenAI.NotFoundError)
     expect(backend.requests.length).toBe(0)
   })
--- a/test/platform/framing.test.ts
+++ b/test/platform/framing.test.ts
@@ -8,7 +8,7 @@
 const SEED = 20_261_203
 const RUNS = 160
 /** Number of concurrent connections. */
-const BATCH = 20
+const CONCURRENT_CONNECTIONS = 20
 /** An answer takes a few milliseconds, and the answer to a smuggled request would follow it at once. */
 const LISTEN_MS = 400
 
@@ -44,24 +44,24 @@
   (length) => [`Content-Length: ${length}`, 'X-Note: a\rTransfer-Encoding: chunked']
 ]
 
-const BEFORE_HIDDEN = ['0\r\n\r\n', '5\r\nhello\r\n0\r\n\r\n', 'hello', '-1\r\n', '5;a=\r\nhello\r\n0\r\n\r\n']
+const BODY_PREFIXES = ['0\r\n\r\n', '5\r\nhello\r\n0\r\n\r\n', 'hello', '-1\r\n', '5;a=\r\nhello\r\n0\r\n\r\n']
 
-const ambiguous = fc.record({
+const ambiguousRequests = fc.record({
   ambiguity: fc.constantFrom(...AMBIGUITIES),
-  before: fc.constantFrom(...BEFORE_HIDDEN),
+  before: fc.constantFrom(...BODY_PREFIXES),
   mask: fc.nat({ max: 2 ** 24 - 1 })
 })
 
-const inBatches = async <Case>(cases: readonly Case[], run: (one: Case) => Promise<unknown>): Promise<void> => {
-  for (let index = 0; index < cases.length; index += BATCH) await Promise.all(cases.slice(index, index + BATCH).map(run))
+const runInBatches = async <Case>(cases: readonly Case[], run: (one: Case) => Promise<unknown>): Promise<void> => {
+  for (let index = 0; index < cases.length; index += CONCURRENT_CONNECTIONS) await Promise.all(cases.slice(index, index + CONCURRENT_CONNECTIONS).map(run))
 }
 
 const readRequestIds = (): readonly string[] => [...fleet.backends.values()].flatMap((backend) => backend.records().map(({ requestId }) => requestId))
 
 // A request smuggled in the body of an ambiguously framed one would run without a check of its key.
 test('a request that is smuggled by ambiguous framing never runs', async () => {
-  const cases = fc.sample(ambiguous, { numRuns: RUNS, seed: SEED })
-  await inBatches(cases, async ({ ambiguity, before, mask }) => {
+  const cases = fc.sample(ambiguousRequests, { numRuns: RUNS, seed: SEED })
+  await runInBatches(cases, async ({ ambiguity, before, mask }) => {
     const body = before + composeHead(`hidden-${nextRequestId()}`, ['Content-Length: 0'])
     const lines = ambiguity(body.length).map((line) => line.replace(/^[A-Za-z-]+/, (name) => changeCase(name, mask)))
     await exchangeBytes(fleet.callerAddress(), composeHead(nextRequestId(), lines) + body, LISTEN_MS)
@@ -71,12 +71,12 @@
 
 const SYSTEM_HEADERS = ['X-Tenant', 'X-Expect-Instance', 'X-Request-Priority', 'X-Expect-Version', 'X-Pin-Ms', 'X-Hold', 'X-Kv-Backup', 'Kv-From', 'Kv-Fetch']
 
-const forged = fc.record({ names: fc.subarray(SYSTEM_HEADERS, { minLength: 1 }), mask: fc.nat({ max: 2 ** 24 - 1 }) })
+const forgedRequests = fc.record({ names: fc.subarray(SYSTEM_HEADERS, { minLength: 1 }), mask: fc.nat({ max: 2 ** 24 - 1 }) })
 
 describe('a header that only the system sets', () => {
   test('is not forwarded when a caller sends it, in any letter case', async () => {
-    const cases = fc.sample(forged, { numRuns: RUNS, seed: SEED })
-    await inBatches(cases, async ({ names, mask }) => {
+    const cases = fc.sample(forgedRequests, { numRuns: RUNS, seed: SEED })
+    await runInBatches(cases, async ({ names, mask }) => {
       const lines = names.map((name) => `${changeCase(name, mask)}: forged`)
       await exchangeBytes(fleet.callerAddress(), composeHead(`forged-${nextRequestId()}`, [...lines, 'Content-Length: 0']), LISTEN_MS)
     })
--- a/test/platform/knowledge.test.ts
+++ b/test/platform/knowledge.test.ts
@@ -160,7 +160,7 @@
     expect(result.isComplete).toBe(true)
   }
 
-  const findKeeper = (fleet: GatewayFleet, shared: string): readonly string[] =>
+  const findCachingServers = (fleet: GatewayFleet, shared: string): readonly string[] =>
     [...fleet.backends.values()].filter((backend) => backend.records().some(({ headers }) => headers['x-prompt-prefix']?.startsWith(shared))).map(({ id }) => id)
 
   test('is reported to a peer, which sends the next turn of the chat there', async () => {
@@ -169,20 +169,20 @@
     await sendChat(fleet, 0, 'aa')
     await new Promise((resolve) => { setTimeout(resolve, 600) })
     await sendChat(fleet, 1, 'aa')
-    expect(findKeeper(fleet, 'aa')).toHaveLength(1)
+    expect(findCachingServers(fleet, 'aa')).toHaveLength(1)
   })
 
   // After a restart of all nodes none knows which engine caches a prefix. Prompts that are not cached
   // at their highest-ranked engine would be computed again.
   test('is read from the engines after a restart of all nodes', async () => {
     const fleet = await start({ settings: { isFirstStart: false } })
-    const rank = findKeeper(fleet, 'zz')
-    expect(rank).toHaveLength(0)
+    const cachingBefore = findCachingServers(fleet, 'zz')
+    expect(cachingBefore).toHaveLength(0)
     await sendChat(fleet, 0, 'zz')
-    const [keeper] = findKeeper(fleet, 'zz')
+    const [cachingServer] = findCachingServers(fleet, 'zz')
     await fleet.restart(0)
-    await waitFor('the cache contents to be read from the engine', async () => fleet.backends.get(keeper!)!.countCacheReads() > 0)
+    await waitFor('the cache contents to be read from the engine', async () => fleet.backends.get(cachingServer!)!.countCacheReads() > 0)
     await sendChat(fleet, 0, 'zz')
-    expect(findKeeper(fleet, 'zz')).toEqual([keeper])
+    expect(findCachingServers(fleet, 'zz')).toEqual([cachingServer])
   })
 })
--- a/test/platform/largeFleet.test.ts
+++ b/test/platform/largeFleet.test.ts
@@ -5,7 +5,7 @@
 
 const KEYS = ['engine-1@1', 'engine-2@1']
 /** Two intervals of load aggregation plus the transmission of each sum. */
-const KNOWN_MS = 1_300
+const PROPAGATION_MS = 1_300
 
 const fleets: KnowledgeFleet[] = []
 
@@ -31,7 +31,7 @@
 test('each node counts the requests of all nodes, its own once', async () => {
   const fleet = await start()
   startRequests(fleet)
-  await fleet.clock.advanceAndSettle(KNOWN_MS)
+  await fleet.clock.advanceAndSettle(PROPAGATION_MS)
   expect(readLoads(fleet)).toEqual(new Set([16]))
 })
 
@@ -41,11 +41,11 @@
   startRequests(fleet)
   for (const id of ['engine-0', 'engine-15', 'engine-3']) {
     fleet.putInstance(id)
-    await fleet.clock.advanceAndSettle(KNOWN_MS)
+    await fleet.clock.advanceAndSettle(PROPAGATION_MS)
     expect(readLoads(fleet)).toEqual(new Set([16]))
   }
   fleet.removeInstance('engine-0')
-  await fleet.clock.advanceAndSettle(KNOWN_MS)
+  await fleet.clock.advanceAndSettle(PROPAGATION_MS)
   expect(readLoads(fleet)).toEqual(new Set([16]))
 })
 
@@ -53,7 +53,7 @@
 test('requests of a dead node are no longer counted', async () => {
   const fleet = await start()
   startRequests(fleet)
-  await fleet.clock.advanceAndSettle(KNOWN_MS)
+  await fleet.clock.advanceAndSettle(PROPAGATION_MS)
   await fleet.nodes[5]!.stop()
   for (let other = 0; other < fleet.nodes.length; other++) if (other !== 5) fleet.network.cut(fleet.addressOf(5), fleet.addressOf(other))
   await fleet.clock.advanceAndSettle(10_000)
--- a/test/platform/operations.test.ts
+++ b/test/platform/operations.test.ts
@@ -21,19 +21,19 @@
 
 const explain = (requestId: string, file: string): Printed => run(createExplainCommand, [requestId, file])
 
-const CAUSES: Readonly<Record<string, readonly string[]>> = {
+const EXPECTED_LINES: Readonly<Record<string, readonly string[]>> = {
   dc7d1cc34f07feb9: ['configuration source lost', 'reason=staleKeys', 'mayHaveRun=false'],
   ffeab552148cd4c2: ['backend server held', 'exchange failed', 'reason=answerBroken', 'mayHaveRun=true'],
   '79a0491bc7f99364': ['backend server silent', 'request sent again', 'request complete']
 }
 
 describe('docs/OPERATIONS.md', () => {
-  test('has a command for each of the three kinds of failure', () => expect(commands.map(([requestId]) => requestId).sort()).toEqual(Object.keys(CAUSES).sort()))
+  test('has a command for each of the three kinds of failure', () => expect(commands.map(([requestId]) => requestId).sort()).toEqual(Object.keys(EXPECTED_LINES).sort()))
 
   test.each(commands)('prints the cause of the failure of request %s', (requestId, file) => {
     const { text, exitCode } = explain(requestId, file)
     expect(exitCode).toBe(0)
-    for (const part of CAUSES[requestId]!) expect(text).toContain(part)
+    for (const part of EXPECTED_LINES[requestId]!) expect(text).toContain(part)
   })
 
   test('reports that no line has the request', () => expect(explain('nobody', 'test/platform/recorded/day.jsonl')).toMatchObject({ exitCode: 1, text: 'no line has the request nobody' }))
--- a/test/platform/processes.test.ts
+++ b/test/platform/processes.test.ts
@@ -11,17 +11,17 @@
 
 const open: { readonly close: () => Promise<void> }[] = []
 
-const keep = <Part extends { readonly close: () => Promise<void> }>(part: Part): Part => {
+const closeAfterTest = <Part extends { readonly close: () => Promise<void> }>(part: Part): Part => {
   open.push(part)
   return part
 }
 
 afterEach(async () => { for (const part of open.splice(0).reverse()) await part.close() })
 
-const startPlatform = async (): Promise<PlatformStandIn> => keep(await createPlatform())
+const startPlatform = async (): Promise<PlatformStandIn> => closeAfterTest(await createPlatform())
 
 const startNode = async (platform: PlatformStandIn, name: string, seeds: readonly GatewayProcess[] = []): Promise<GatewayProcess> =>
-  keep(await startGatewayProcess({ name, store: platform.store.address(), seeds: seeds.map(({ peerAddress }) => peerAddress) }))
+  closeAfterTest(await startGatewayProcess({ name, store: platform.store.address(), seeds: seeds.map(({ peerAddress }) => peerAddress) }))
 
 const readReadiness = async ({ readinessAddress: { host, port } }: GatewayProcess): Promise<number> => (await fetch(`http://${host}:${port}/readyz`)).status
 
@@ -78,7 +78,7 @@
   // A process that resumes from a freeze would accept an order with a key that was revoked meanwhile.
   test('does not accept a key that was revoked while it was frozen', async () => {
     const platform = await startPlatform()
-    const node = keep(await startGatewayProcess({ name: 'node-1', store: platform.store.address(), fields: { 'bounds.revoke_ms': '2000' } }))
+    const node = closeAfterTest(await startGatewayProcess({ name: 'node-1', store: platform.store.address(), fields: { 'bounds.revoke_ms': '2000' } }))
     await waitUntilReady(node)
     expect(await callGateway(node.callerAddress, { path: '/order/1', key: 'second-key' })).toMatchObject({ status: 200 })
     node.signal('SIGSTOP')
--- a/test/platform/readers.test.ts
+++ b/test/platform/readers.test.ts
@@ -121,17 +121,17 @@
 })
 
 describe('a drain of a zone', () => {
-  const listSending = (fleet: KnowledgeFleet): readonly number[] =>
+  const listNodesWithoutDrain = (fleet: KnowledgeFleet): readonly number[] =>
     fleet.nodes.flatMap((node, index) => node.resolve('zoneDrains').isDrained('zone-0') ? [] : [index])
 
   test('is known everywhere within a quarter of a second', async () => {
     const fleet = await start({ nodesPerZone: 8, zones: 3 })
     fleet.beginDrain('zone-0')
     await fleet.clock.advanceAndSettle(250)
-    expect(listSending(fleet)).toEqual([])
+    expect(listNodesWithoutDrain(fleet)).toEqual([])
     fleet.endDrain('zone-0')
     await fleet.clock.advanceAndSettle(250)
-    expect(listSending(fleet)).toHaveLength(24)
+    expect(listNodesWithoutDrain(fleet)).toHaveLength(24)
   })
 
   // The store rejects a third of the nodes, among them a zone's reader. These nodes would still send to the drained zone.
@@ -141,7 +141,7 @@
     await fleet.clock.advanceAndSettle(1_000)
     fleet.beginDrain('zone-0')
     await fleet.clock.advanceAndSettle(2_000)
-    expect(listSending(fleet)).toEqual([])
+    expect(listNodesWithoutDrain(fleet)).toEqual([])
   })
 
   // A node that restarts during a drain and learns the servers before the drains would send to the drained zone.
@@ -152,7 +152,7 @@
     await fleet.restart(3)
     for (let step = 0; step < 400; step++) {
       await fleet.clock.advanceAndSettle(5)
-      if (fleet.nodes[3]!.canServe()) expect(listSending(fleet)).toEqual([])
+      if (fleet.nodes[3]!.canServe()) expect(listNodesWithoutDrain(fleet)).toEqual([])
     }
     expect(fleet.nodes[3]!.canServe()).toBe(true)
   })
@@ -173,37 +173,37 @@
     fleet.network.healAll()
     for (let node = 0; node < 12; node++) fleet.setReached(node, true)
     await fleet.clock.advanceAndSettle(3_000)
-    expect(listSending(fleet)).toEqual([])
+    expect(listNodesWithoutDrain(fleet)).toEqual([])
     expect(fleet.nodes.map((node) => node.resolve('zoneDrains').isDrained('zone-1'))).toEqual(Array(12).fill(false))
   })
 })
 
 describe('a burst of versions with many routes', () => {
-  const STORM_VERSIONS = 15
+  const BURST_VERSIONS = 15
   const VERSION_GAP_MS = 333
   /** The bytes that a node receives for a version depend on its changes, not on the number of routes. */
-  const MOST_BYTES_A_VERSION = 2_048
+  const MAXIMUM_BYTES_PER_VERSION = 2_048
 
-  const sumKnowledgeBytes = (fleet: KnowledgeFleet): number =>
+  const sumReplyBytes = (fleet: KnowledgeFleet): number =>
     fleet.transports.reduce((sum, transport) => sum + (transport.bytesSent().get('knowledgeRequestReply') ?? 0), 0)
 
   // If each version were sent in full to every node, the reader's link would be saturated for seconds
   // and nodes would serve with outdated versions.
   test('takes effect on all nodes within a second and in few bytes, although a third of them restart', async () => {
     const fleet = await start({ nodesPerZone: 8, zones: 3, routes: 1_200 })
-    const before = sumKnowledgeBytes(fleet)
-    for (let version = 0; version < STORM_VERSIONS; version++) {
+    const before = sumReplyBytes(fleet)
+    for (let version = 0; version < BURST_VERSIONS; version++) {
       fleet.applyVersion()
       if (version === 5) for (let index = 1; index < fleet.nodes.length; index += 3) await fleet.restart(index)
       await fleet.clock.advanceAndSettle(VERSION_GAP_MS)
     }
     await fleet.clock.advanceAndSettle(1_000 - VERSION_GAP_MS)
     expect(new Set(readVersions(fleet))).toEqual(new Set([fleet.newestAt(fleet.clock.now())]))
-    expect((sumKnowledgeBytes(fleet) - before) / fleet.nodes.length / STORM_VERSIONS).toBeLessThan(MOST_BYTES_A_VERSION)
+    expect((sumReplyBytes(fleet) - before) / fleet.nodes.length / BURST_VERSIONS).toBeLessThan(MAXIMUM_BYTES_PER_VERSION)
   })
 })
 
-const isConfirmedOrGivenUp = async (fleet: KnowledgeFleet): Promise<boolean> => {
+const hasConfirmationEnded = async (fleet: KnowledgeFleet): Promise<boolean> => {
   let isOver = false
   fleet.nodes[0]!.resolve('gatewayConfiguration').confirm(400).then(() => { isOver = true })
   await fleet.clock.advanceAndSettle(1)
@@ -216,18 +216,18 @@
     const fleet = await start({ nodesPerZone: 2 })
     for (const node of [0, 1]) fleet.setReached(node, false)
     await fleet.clock.advanceAndSettle(5_000)
-    expect(await isConfirmedOrGivenUp(fleet)).toBe(true)
+    expect(await hasConfirmationEnded(fleet)).toBe(true)
   })
 
   test('waits for a source that was reachable at the last read', async () => {
     const fleet = await start({ nodesPerZone: 2 })
-    expect(await isConfirmedOrGivenUp(fleet)).toBe(false)
+    expect(await hasConfirmationEnded(fleet)).toBe(false)
   })
 })
 
-type Trouble = (fleet: KnowledgeFleet, pick: (count: number) => number) => void
+type Disturbance = (fleet: KnowledgeFleet, pick: (count: number) => number) => void
 
-const TROUBLES: readonly Trouble[] = [
+const DISTURBANCES: readonly Disturbance[] = [
   (fleet) => fleet.applyVersion(),
   (fleet, pick) => fleet.putInstance(`engine-${pick(5)}`, { incarnation: pick(4) + 1, isLeaving: pick(3) === 0 }),
   (fleet, pick) => fleet.removeInstance(`engine-${pick(5)}`),
@@ -252,7 +252,7 @@
     const pick = (count: number): number => Math.floor(random() * count)
     const highest = fleet.nodes.map(() => 0)
     for (let step = 0; step < 60; step++) {
-      TROUBLES[pick(TROUBLES.length)]!(fleet, pick)
+      DISTURBANCES[pick(DISTURBANCES.length)]!(fleet, pick)
       await fleet.clock.advanceAndSettle(50 + pick(600))
       fleet.nodes.forEach((node, index) => {
         const holder = node.resolve('gatewayConfiguration')
--- a/test/platform/requests.test.ts
+++ b/test/platform/requests.test.ts
@@ -16,7 +16,7 @@
 
 afterEach(async () => { for (const fleet of fleets.splice(0)) await fleet.close() })
 
-const recordsOf = (fleet: GatewayFleet, requestId: string): readonly BackendRecord[] =>
+const findRecords = (fleet: GatewayFleet, requestId: string): readonly BackendRecord[] =>
   [...fleet.backends.values()].flatMap((backend) => backend.records()).filter((record) => record.requestId === requestId)
 
 const pause = (ms: number): Promise<void> => new Promise((resolve) => { setTimeout(resolve, ms) })
@@ -28,7 +28,7 @@
   test('has the status, the body and the signature of its backend server', async () => {
     const fleet = await start()
     const result = await callGateway(fleet.callerAddress(), { path: '/lookup/1?x=2', requestId: 'r1' })
-    const [record] = recordsOf(fleet, 'r1')
+    const [record] = findRecords(fleet, 'r1')
     expect(result).toMatchObject({ status: 200, isComplete: true })
     expect(JSON.parse(result.body)).toMatchObject({ answer: 'r1' })
     expect(result.headers['x-server-stamp']).toMatch(/^stamp-plain-/)
@@ -38,7 +38,7 @@
   test('is requested from the backend server with the account and without the key', async () => {
     const fleet = await start()
     await callGateway(fleet.callerAddress(), { path: '/order/1', requestId: 'r1', body: 'two loaves', headers: { 'X-Tenant': 'forged', 'X-Hold': 'forged', 'X-Pin-Ms': '5', 'X-Other': 'kept' } })
-    const [record] = recordsOf(fleet, 'r1')
+    const [record] = findRecords(fleet, 'r1')
     expect(record?.headers['x-tenant']).toBe('pekarna')
     expect(record?.headers.authorization).toBeUndefined()
     expect(record?.headers['x-hold']).toBeUndefined()
@@ -50,9 +50,9 @@
   test('is requested with the remaining time as deadline, limited by the route\'s timeout', async () => {
     const fleet = await start()
     await callGateway(fleet.callerAddress(), { path: '/lookup/1', requestId: 'r1', timeoutMs: 60_000 })
-    const left = Number(recordsOf(fleet, 'r1')[0]?.headers['x-deadline-ms'])
-    expect(left).toBeGreaterThan(0)
-    expect(left).toBeLessThanOrEqual(2_000)
+    const remainingMs = Number(findRecords(fleet, 'r1')[0]?.headers['x-deadline-ms'])
+    expect(remainingMs).toBeGreaterThan(0)
+    expect(remainingMs).toBeLessThanOrEqual(2_000)
   })
 })
 
@@ -82,7 +82,7 @@
     const result = await callGateway(fleet.callerAddress(), { path: '/once/1', requestId: 'r1', body: 'hello', headers: promptHeaders() })
     expect(result.isComplete).toBe(false)
     expect(result.body).toBe(composeStream('r1', 1, 2))
-    expect(recordsOf(fleet, 'r1')).toHaveLength(1)
+    expect(findRecords(fleet, 'r1')).toHaveLength(1)
   })
 
   test('continues after the event in the caller\'s Last-Event-Id', async () => {
@@ -108,7 +108,7 @@
     const result = await callGateway(fleet.callerAddress(), { path: '/order/1', requestId: 'r1', body: 'x' })
     expect(result).toMatchObject({ status: 500, body: 'failed', isComplete: true })
     expect(result.headers['x-server-stamp']).toBe('stamp-plain-1')
-    expect(recordsOf(fleet, 'r1')).toHaveLength(1)
+    expect(findRecords(fleet, 'r1')).toHaveLength(1)
   })
 
   // An order whose answer is lost would be retried, or refused as not run although it ran.
@@ -117,7 +117,7 @@
     for (const backend of fleet.backends.values()) backend.setFault('reset', 1)
     const result = await callGateway(fleet.callerAddress(), { path: '/order/1', requestId: 'r1', body: 'x' })
     expect(result.status).toBe(502)
-    expect(recordsOf(fleet, 'r1')).toHaveLength(1)
+    expect(findRecords(fleet, 'r1')).toHaveLength(1)
   })
 
   test('that refuses an unsafe request as not run lets another server run it', async () => {
@@ -134,7 +134,7 @@
     const result = await callGateway(fleet.callerAddress(), { path: '/order/1', requestId: 'r1', body: 'x' })
     expect(result.status).toBe(503)
     expect(Number(result.headers['retry-after'])).toBeGreaterThan(0)
-    expect(recordsOf(fleet, 'r1').some(({ isRun }) => isRun)).toBe(false)
+    expect(findRecords(fleet, 'r1').some(({ isRun }) => isRun)).toBe(false)
   })
 
   // A server that does not respond would block a safe lookup until its deadline.
@@ -220,7 +220,7 @@
     leaving.abort()
     await call
     await pause(200)
-    expect(recordsOf(fleet, 'r1')[0]?.abandonedAfterMs).toBeLessThan(1_000)
+    expect(findRecords(fleet, 'r1')[0]?.abandonedAfterMs).toBeLessThan(1_000)
   })
 })
 
@@ -255,6 +255,6 @@
     const fleet = await start()
     const answer = await exchangeBytes(fleet.callerAddress(), bytes, 700)
     expect(answer).not.toContain('HTTP/1.1 200')
-    expect(recordsOf(fleet, 'r1')).toHaveLength(0)
+    expect(findRecords(fleet, 'r1')).toHaveLength(0)
   })
 })
--- a/test/platform/zones.test.ts
+++ b/test/platform/zones.test.ts
@@ -122,11 +122,11 @@
 })
 
 describe('a request restricted to regions', () => {
-  const BOUND = [createRoute('north', { allowed_regions: ['north'] }), createRoute('nowhere', { allowed_regions: ['moon'] }), createRoute('any', { allowed_regions: [] })]
+  const RESTRICTED_ROUTES = [createRoute('north', { allowed_regions: ['north'] }), createRoute('nowhere', { allowed_regions: ['moon'] }), createRoute('any', { allowed_regions: [] })]
 
   // A restricted request would leave its region for a less loaded server, or with a retry.
   test('reaches servers of these regions only, also when retried', async () => {
-    const fleet = await start({ routes: BOUND })
+    const fleet = await start({ routes: RESTRICTED_ROUTES })
     await callMany(fleet, '/north/1')
     fleet.backends.get('plain-1')!.setFault('error')
     await callMany(fleet, '/north/2', 4)
@@ -135,14 +135,14 @@
   })
 
   test('is refused at once as not run where the region has no server', async () => {
-    const fleet = await start({ routes: BOUND })
+    const fleet = await start({ routes: RESTRICTED_ROUTES })
     expect(listStatuses(await callMany(fleet, '/nowhere/1', 2))).toEqual([503])
     expect(fleet.logs).toContainEqual(expect.objectContaining({ message: 'request ended', reason: 'regionNotAllowed' }))
   })
 
   // While a region is unreachable its requests would be served in another region.
   test.each(['/north/1', '/north-order/1'])('is not served elsewhere while its region is unreachable: %s', async (path) => {
-    const fleet = await start({ routes: [...BOUND, createRoute('north-order', { route_type: 'unsafe', max_attempts: 1, allowed_regions: ['north'] })] })
+    const fleet = await start({ routes: [...RESTRICTED_ROUTES, createRoute('north-order', { route_type: 'unsafe', max_attempts: 1, allowed_regions: ['north'] })] })
     await fleet.backends.get('plain-1')!.close()
     const results = await callMany(fleet, path, 4)
     expect(results.every(({ status }) => status >= 500)).toBe(true)
@@ -150,13 +150,13 @@
   })
 
   test('by an empty list may be served in every region', async () => {
-    const fleet = await start({ routes: BOUND })
+    const fleet = await start({ routes: RESTRICTED_ROUTES })
     await callMany(fleet, '/any/1')
     expect(countRuns(fleet, 'plain-2')).toBeGreaterThan(0)
   })
 
   test('by its account and by its route is served only where both allow it', async () => {
-    const fleet = await start({ routes: BOUND, tenants: [{ name: 'pekarna', api_keys: [KEY], allowed_regions: ['south'] }] })
+    const fleet = await start({ routes: RESTRICTED_ROUTES, tenants: [{ name: 'pekarna', api_keys: [KEY], allowed_regions: ['south'] }] })
     expect(listStatuses(await callMany(fleet, '/north/1', 2))).toEqual([503])
     expect(listStatuses(await callMany(fleet, '/any/1', 2))).toEqual([200])
     expect(countRuns(fleet, 'plain-1')).toBe(0)
--- a/test/requestFaults.test.ts
+++ b/test/requestFaults.test.ts
@@ -3,16 +3,16 @@
 import { callRouter, type RequestKind } from './_lib/callRouter.js'
 import { createDispatchHarness, type DispatchHarness, type HarnessOptions } from './_lib/createDispatchHarness.js'
 import {
-  answerEvents, answerEventsThenCut, answerEventsThenWait, answerThenCut, answerWhole, createRawBackend, cutInHeaders, END_EVENT,
-  findClosedOrigin, formatEvent, refuseWith, resetConnection, stayedSilent, type RawBackend, type RawStep
+  answerEvents, answerEventsThenClose, answerEventsThenWait, answerThenClose, answerCompletely, createRawBackend, closeInHeaders, END_EVENT,
+  findClosedOrigin, formatEvent, refuseWith, resetConnection, neverAnswer, type RawBackend, type RawStep
 } from './_lib/createRawBackend.js'
 
-type Setting = { readonly harness: DispatchHarness, readonly backends: readonly RawBackend[] }
+type TestSetup = { readonly harness: DispatchHarness, readonly backends: readonly RawBackend[] }
 
 type Expected = {
   readonly status: number
   /** `complete`, or the outcome that the refusal states. */
-  readonly fate: 'complete' | 'not-run' | 'unknown'
+  readonly outcome: 'complete' | 'not-run' | 'unknown'
   readonly code?: string
   /** Number of requests that each backend server received. */
   readonly requests: readonly number[]
@@ -26,7 +26,7 @@
   closers = []
 })
 
-const start = async (scripts: readonly (readonly RawStep[])[], options: Partial<HarnessOptions> = {}): Promise<Setting> => {
+const start = async (scripts: readonly (readonly RawStep[])[], options: Partial<HarnessOptions> = {}): Promise<TestSetup> => {
   const backends = await Promise.all(scripts.map((steps) => createRawBackend(...steps)))
   closers.push(...backends.map(({ close }) => close))
   const harness = await createDispatchHarness({ origins: backends.map(({ url }) => url), ...options })
@@ -37,52 +37,52 @@
 const e1 = formatEvent(1, 'one')
 const e2 = formatEvent(2, 'two')
 const e3 = formatEvent(3, 'three')
-const wholeStream = e1 + e2 + e3 + END_EVENT
-const whole = answerWhole('{"ok":true}')
+const completeStream = e1 + e2 + e3 + END_EVENT
+const completeAnswer = answerCompletely('{"ok":true}')
 const LOAD_REPORT = '{"running":1,"waiting":0,"slots":1,"leaving":false,"ageMs":0}'
 const events = answerEvents([e1, e2, e3, END_EVENT])
-const foreign = answerWhole('{"secret":1}', { 'x-request-id': 'another' })
-const anonymous = answerWhole('{"secret":1}', { 'x-request-id': '' })
-const shortBody = answerThenCut({ 'content-type': 'application/json', 'content-length': '50' }, '{"ok":')
-const openChunks = answerThenCut({ 'content-type': 'application/json', 'transfer-encoding': 'chunked' }, '5\r\n{"ok"\r\n')
-const untilClose = answerThenCut({ 'content-type': 'application/json' }, '{"ok":true}')
+const crossedAnswer = answerCompletely('{"secret":1}', { 'x-request-id': 'another' })
+const answerWithoutId = answerCompletely('{"secret":1}', { 'x-request-id': '' })
+const truncatedBody = answerThenClose({ 'content-type': 'application/json', 'content-length': '50' }, '{"ok":')
+const unterminatedChunks = answerThenClose({ 'content-type': 'application/json', 'transfer-encoding': 'chunked' }, '5\r\n{"ok"\r\n')
+const answerWithoutLength = answerThenClose({ 'content-type': 'application/json' }, '{"ok":true}')
 
-const complete = (requests: readonly number[]): Expected => ({ status: 200, fate: 'complete', requests })
-const unknown = (requests: readonly number[], code = 'backendFailed'): Expected => ({ status: 502, fate: 'unknown', code, requests })
-const notRun = (requests: readonly number[], code: string): Expected => ({ status: 503, fate: 'not-run', code, requests })
+const complete = (requests: readonly number[]): Expected => ({ status: 200, outcome: 'complete', requests })
+const unknown = (requests: readonly number[], code = 'backendFailed'): Expected => ({ status: 502, outcome: 'unknown', code, requests })
+const notRun = (requests: readonly number[], code: string): Expected => ({ status: 503, outcome: 'not-run', code, requests })
 
-const readFate = (status: number, text: string): string =>
+const readOutcome = (status: number, text: string): string =>
   status < 300 ? 'complete' : JSON.parse(text).error.outcome
 
 describe('a request whose first backend server fails', () => {
   it.each<[string, RequestKind, readonly (readonly RawStep[])[], Expected]>([
-    ['reset after reading, repeatable', 'stock', [[resetConnection], [whole]], complete([1, 1])],
-    ['reset after reading, order', 'order', [[resetConnection], [whole]], unknown([1, 0])],
-    ['reset after reading, idempotent at the backend servers', 'settlement', [[resetConnection], [whole]], complete([1, 1])],
-    ['closed within the headers, repeatable', 'stock', [[cutInHeaders], [whole]], complete([1, 1])],
-    ['closed within the headers, order', 'order', [[cutInHeaders], [whole]], unknown([1, 0])],
-    ['body shorter than declared, repeatable', 'stock', [[shortBody], [whole]], complete([1, 1])],
-    ['body shorter than declared, order', 'order', [[shortBody], [whole]], unknown([1, 0], 'answerIncomplete')],
-    ['chunks without the last one', 'stock', [[openChunks], [whole]], complete([1, 1])],
-    ['chunks without the last one, order', 'order', [[openChunks], [whole]], unknown([1, 0], 'answerIncomplete')],
-    ['body without a length, ended by the close, order', 'order', [[untilClose], [whole]], unknown([1, 0], 'answerIncomplete')],
-    ['model answer with truncated JSON', 'chatWhole', [[answerWhole('{"ok":')], [whole]], complete([1, 1])],
-    ['documented refusal, repeatable', 'stock', [[refuseWith('overloaded')], [whole]], complete([1, 1])],
-    ['documented refusal, order', 'order', [[refuseWith('leaving')], [whole]], complete([1, 1])],
+    ['reset after reading, repeatable', 'stock', [[resetConnection], [completeAnswer]], complete([1, 1])],
+    ['reset after reading, order', 'order', [[resetConnection], [completeAnswer]], unknown([1, 0])],
+    ['reset after reading, idempotent at the backend servers', 'settlement', [[resetConnection], [completeAnswer]], complete([1, 1])],
+    ['closed within the headers, repeatable', 'stock', [[closeInHeaders], [completeAnswer]], complete([1, 1])],
+    ['closed within the headers, order', 'order', [[closeInHeaders], [completeAnswer]], unknown([1, 0])],
+    ['body shorter than declared, repeatable', 'stock', [[truncatedBody], [completeAnswer]], complete([1, 1])],
+    ['body shorter than declared, order', 'order', [[truncatedBody], [completeAnswer]], unknown([1, 0], 'answerIncomplete')],
+    ['chunks without the last one', 'stock', [[unterminatedChunks], [completeAnswer]], complete([1, 1])],
+    ['chunks without the last one, order', 'order', [[unterminatedChunks], [completeAnswer]], unknown([1, 0], 'answerIncomplete')],
+    ['body without a length, ended by the close, order', 'order', [[answerWithoutLength], [completeAnswer]], unknown([1, 0], 'answerIncomplete')],
+    ['model answer with truncated JSON', 'chatWhole', [[answerCompletely('{"ok":')], [completeAnswer]], complete([1, 1])],
+    ['documented refusal, repeatable', 'stock', [[refuseWith('overloaded')], [completeAnswer]], complete([1, 1])],
+    ['documented refusal, order', 'order', [[refuseWith('leaving')], [completeAnswer]], complete([1, 1])],
     ['documented refusal by all servers, order', 'order', [[refuseWith('leaving')], [refuseWith('overloaded')]], notRun([1, 1], 'noBackendServer')],
-    ['refusal with another request\'s id, order', 'order', [[answerWhole('{}', { 'x-not-run': 'leaving', 'x-request-id': 'another' }, 503)], [whole]], unknown([1, 0])],
-    ['undocumented 503, repeatable', 'stock', [[answerWhole('{}', {}, 503)], [whole]], complete([1, 1])],
-    ['crossed answer, repeatable', 'stock', [[foreign], [whole]], complete([1, 1])],
-    ['crossed answer, order', 'order', [[foreign], [whole]], unknown([1, 0])],
-    ['answer without an id, order', 'order', [[anonymous], [whole]], unknown([1, 0])],
-    ['failed on all servers after it was sent', 'stock', [[resetConnection], [resetConnection]], { status: 503, fate: 'unknown', code: 'noBackendServer', requests: [1, 1] }],
+    ['refusal with another request\'s id, order', 'order', [[answerCompletely('{}', { 'x-not-run': 'leaving', 'x-request-id': 'another' }, 503)], [completeAnswer]], unknown([1, 0])],
+    ['undocumented 503, repeatable', 'stock', [[answerCompletely('{}', {}, 503)], [completeAnswer]], complete([1, 1])],
+    ['crossed answer, repeatable', 'stock', [[crossedAnswer], [completeAnswer]], complete([1, 1])],
+    ['crossed answer, order', 'order', [[crossedAnswer], [completeAnswer]], unknown([1, 0])],
+    ['answer without an id, order', 'order', [[answerWithoutId], [completeAnswer]], unknown([1, 0])],
+    ['failed on all servers after it was sent', 'stock', [[resetConnection], [resetConnection]], { status: 503, outcome: 'unknown', code: 'noBackendServer', requests: [1, 1] }],
     ['fails more often than the maximum number of attempts', 'stock', Array.from({ length: 4 }, () => [resetConnection]), unknown([1, 1, 1, 0])]
   ])('%s', async (_name, kind, scripts, expected) => {
     const { harness, backends } = await start(scripts)
     const answer = await callRouter(harness.url, kind)
     expect(answer.isBroken).toBe(false)
-    expect({ status: answer.status, fate: readFate(answer.status, answer.text), requests: backends.map(({ requests }) => requests.filter(({ method }) => method === 'POST').length) })
-      .toEqual({ status: expected.status, fate: expected.fate, requests: expected.requests })
+    expect({ status: answer.status, outcome: readOutcome(answer.status, answer.text), requests: backends.map(({ requests }) => requests.filter(({ method }) => method === 'POST').length) })
+      .toEqual({ status: expected.status, outcome: expected.outcome, requests: expected.requests })
     if (expected.code !== undefined) expect(JSON.parse(answer.text).error.code).toBe(expected.code)
     else expect(answer.text).toBe('{"ok":true}')
     await harness.dispatch.whenIdle()
@@ -100,18 +100,18 @@
   it('releases the claim when every server refused the connection', async () => {
     const { harness } = await start([], { origins: [await findClosedOrigin(), await findClosedOrigin()] })
     const answer = await callRouter(harness.url, 'order')
-    expect(readFate(answer.status, answer.text)).toBe('not-run')
+    expect(readOutcome(answer.status, answer.text)).toBe('not-run')
     expect(harness.recorded).toMatchObject({ released: ['claim-1'], outcomes: ['backend-1 notSent', 'backend-2 notSent'] })
   })
 
   it('marks a backend server as leaving when it refuses for this reason', async () => {
-    const { harness } = await start([[refuseWith('leaving')], [whole]])
+    const { harness } = await start([[refuseWith('leaving')], [completeAnswer]])
     await callRouter(harness.url, 'stock')
     expect(harness.recorded).toMatchObject({ marked: ['backend-1'], outcomes: ['backend-1 refused', 'backend-2 complete'] })
   })
 
   it('keeps the claim and stores the answer of an order that ran', async () => {
-    const { harness } = await start([[whole]])
+    const { harness } = await start([[completeAnswer]])
     await callRouter(harness.url, 'order')
     expect(harness.recorded.released).toEqual([])
     expect(harness.recorded.completed.map(({ body }) => Buffer.from(body).toString())).toEqual(['{"ok":true}'])
@@ -126,32 +126,32 @@
    */
   it.each<[string, readonly (readonly RawStep[])[], Expected]>([
     ['complete', [[events]], complete([1])],
-    ['broken and resumed', [[answerEventsThenCut([e1, e2]), answerEvents([e3, END_EVENT])]], complete([2])],
-    ['resumed with an overlap', [[answerEventsThenCut([e1, e2]), answerEvents([e1, e2, e3, END_EVENT])]], complete([2])],
-    ['broken within an event', [[answerEventsThenCut([e1, e2.slice(0, 20)]), answerEvents([e2, e3, END_EVENT])]], complete([2])],
-    ['broken twice', [[answerEventsThenCut([e1]), answerEventsThenCut([e2]), answerEvents([e3, END_EVENT])]], complete([3])],
-    ['resumed at the second attempt', [[answerEventsThenCut([e1]), resetConnection, answerEvents([e2, e3, END_EVENT])]], complete([3])],
+    ['broken and resumed', [[answerEventsThenClose([e1, e2]), answerEvents([e3, END_EVENT])]], complete([2])],
+    ['resumed with an overlap', [[answerEventsThenClose([e1, e2]), answerEvents([e1, e2, e3, END_EVENT])]], complete([2])],
+    ['broken within an event', [[answerEventsThenClose([e1, e2.slice(0, 20)]), answerEvents([e2, e3, END_EVENT])]], complete([2])],
+    ['broken twice', [[answerEventsThenClose([e1]), answerEventsThenClose([e2]), answerEvents([e3, END_EVENT])]], complete([3])],
+    ['resumed at the second attempt', [[answerEventsThenClose([e1]), resetConnection, answerEvents([e2, e3, END_EVENT])]], complete([3])],
     ['with every event twice', [[answerEvents([e1, e1, e2, e2, e3, e3, END_EVENT])]], complete([1])],
     ['with an event missing once', [[answerEventsThenWait([e1, e3]), answerEvents([e2, e3, END_EVENT])]], complete([2])],
     ['well-formed but without its end marker', [[answerEvents([e1, e2]), answerEvents([e3, END_EVENT])]], complete([2])],
-    ['resumed with a crossed answer', [[answerEventsThenCut([e1, e2]), answerEvents([e3, END_EVENT], { 'x-request-id': 'another' }), answerEvents([e3, END_EVENT])]], complete([3])],
-    ['broken before its first event', [[answerEventsThenCut([]), resetConnection], [events]], complete([2, 1])],
-    ['no longer known at the resume', [[answerEventsThenCut([e1]), answerWhole('{}', {}, 404)], [events]], { ...unknown([2, 0]), status: 200, isBroken: true }],
-    ['broken on a server that then resets all connections', [[answerEventsThenCut([e1]), resetConnection], [events]], { ...unknown([4, 0]), status: 200, isBroken: true }],
+    ['resumed with a crossed answer', [[answerEventsThenClose([e1, e2]), answerEvents([e3, END_EVENT], { 'x-request-id': 'another' }), answerEvents([e3, END_EVENT])]], complete([3])],
+    ['broken before its first event', [[answerEventsThenClose([]), resetConnection], [events]], complete([2, 1])],
+    ['no longer known at the resume', [[answerEventsThenClose([e1]), answerCompletely('{}', {}, 404)], [events]], { ...unknown([2, 0]), status: 200, isBroken: true }],
+    ['broken on a server that then resets all connections', [[answerEventsThenClose([e1]), resetConnection], [events]], { ...unknown([4, 0]), status: 200, isBroken: true }],
     ['that misses the same event at each attempt', [[answerEvents([e1, e3, END_EVENT])]], { ...unknown([4]), status: 200, isBroken: true }]
   ])('%s', async (_name, scripts, expected) => {
     const { harness, backends } = await start(scripts)
     const answer = await callRouter(harness.url, 'chatStream')
     expect(answer.status).toBe(expected.status)
     expect(answer.isBroken).toBe(expected.isBroken ?? false)
-    if (expected.fate === 'complete') expect(answer.text).toBe(wholeStream)
+    if (expected.outcome === 'complete') expect(answer.text).toBe(completeStream)
     else {
       expect(answer.text).not.toContain('[DONE]')
       expect(answer.text).toContain('"code":"answerIncomplete","outcome":"unknown"')
     }
     await harness.dispatch.whenIdle()
     expect(backends.map(({ requests }) => requests.filter(({ method }) => method !== 'DELETE').length)).toEqual(expected.requests)
-    expect(harness.dispatch.ledger()).toMatchObject({ accepted: 1, [expected.fate]: 1, open: 0 })
+    expect(harness.dispatch.ledger()).toMatchObject({ accepted: 1, [expected.outcome]: 1, open: 0 })
     expect(harness.recorded.ended).toEqual(harness.recorded.started)
   })
 
@@ -165,11 +165,11 @@
     const backendClient = createBackendHttp({ connectTimeoutMs: 2_000, answerIdleTimeoutMs: 40 })
     const { harness, backends } = await start([[silent, silent, silent, silent, silent, events], [events]], { backendClient, dispatch: { reachabilityCheckMs: 60_000 } })
     const answer = await callRouter(harness.url, 'chatStream')
-    expect([answer.text, backends.map(({ requests }) => requests.length)]).toEqual([wholeStream, [6, 0]])
+    expect([answer.text, backends.map(({ requests }) => requests.length)]).toEqual([completeStream, [6, 0]])
   })
 
   it('is cancelled on the engine when its caller disconnects', async () => {
-    const { harness, backends } = await start([[answerEventsThenWait([e1]), whole]])
+    const { harness, backends } = await start([[answerEventsThenWait([e1]), completeAnswer]])
     const controller = new AbortController()
     const response = await fetch(`${harness.url}/v1/chat/completions`, {
       method: 'POST',
@@ -195,10 +195,10 @@
 
 describe('an answer too large to be buffered', () => {
   it.each<[string, RawStep, string, boolean]>([
-    ['complete', whole, '{"ok":true}', false],
-    ['truncated', shortBody, '{"ok":', true]
+    ['complete', completeAnswer, '{"ok":true}', false],
+    ['truncated', truncatedBody, '{"ok":', true]
   ])('is forwarded as it arrives, and its connection is broken when it is incomplete: %s', async (_name, step, text, isBroken) => {
-    const { harness } = await start([[step], [whole]], { dispatch: { answerBufferBytes: 3 } })
+    const { harness } = await start([[step], [completeAnswer]], { dispatch: { answerBufferBytes: 3 } })
     expect(await callRouter(harness.url, 'stock')).toMatchObject({ status: 200, text, isBroken })
     expect(harness.dispatch.ledger()).toMatchObject({ complete: isBroken ? 0 : 1, unknown: isBroken ? 1 : 0 })
   })
@@ -206,7 +206,7 @@
 
 describe('a request that passes its deadline', () => {
   it.each<[string, RequestKind, string | null]>([['repeatable', 'stock', '1'], ['order', 'order', null]])('gets its final answer at once: %s', async (_name, kind, retryAfter) => {
-    const { harness } = await start([[stayedSilent], [whole]])
+    const { harness } = await start([[neverAnswer], [completeAnswer]])
     const answer = await callRouter(harness.url, kind, { 'x-deadline-ms': '300' })
     expect(JSON.parse(answer.text).error).toMatchObject({ code: 'deadline', outcome: 'unknown' })
     expect(answer.status).toBe(504)
@@ -221,7 +221,7 @@
    * are idle: the VM of the server died, and its open connections show no error.
    */
   it.each<[RequestKind, number, readonly number[]]>([['stock', 200, [1, 1]], ['chatWhole', 200, [1, 1]], ['order', 504, [1, 0]]])('is abandoned only for a request that may be repeated: %s', async (kind, status, requests) => {
-    const { harness, backends } = await start([[stayedSilent], [whole]], { unreachable: ['backend-1'], dispatch: { reachabilityCheckMs: 20 } })
+    const { harness, backends } = await start([[neverAnswer], [completeAnswer]], { unreachable: ['backend-1'], dispatch: { reachabilityCheckMs: 20 } })
     const answer = await callRouter(harness.url, kind, { 'x-deadline-ms': kind === 'order' ? '300' : '15000' })
     expect([answer.status, backends.map((backend) => backend.requests.filter(({ method }) => method === 'POST').length)]).toEqual([status, requests])
   })
@@ -229,14 +229,14 @@
   it('is waited for as long as it answers probes', async () => {
     let finish = (): void => {}
     const { harness, backends } = await start([[(socket, request) => {
-      if (request.path === '/load') answerWhole(LOAD_REPORT)(socket, request)
-      else finish = () => whole(socket, request)
-    }], [whole]], { dispatch: { reachabilityCheckMs: 5 } })
-    const asked = callRouter(harness.url, 'stock')
+      if (request.path === '/load') answerCompletely(LOAD_REPORT)(socket, request)
+      else finish = () => completeAnswer(socket, request)
+    }], [completeAnswer]], { dispatch: { reachabilityCheckMs: 5 } })
+    const pendingAnswer = callRouter(harness.url, 'stock')
     await expect.poll(() => backends[0]?.requests.some(({ path }) => path.startsWith('/stock'))).toBe(true)
     await new Promise((resolve) => setTimeout(resolve, 60))
     finish()
-    expect((await asked).headers.get('x-served-by')).toBe('backend-1')
+    expect((await pendingAnswer).headers.get('x-served-by')).toBe('backend-1')
   })
 })
 
@@ -249,6 +249,6 @@
       headers: { authorization: 'Bearer sk-test', 'idempotency-key': 'k' }
     }).then((response) => response.text())
     await harness.dispatch.whenIdle()
-    expect(harness.recorded.completed.map(({ body }) => Buffer.from(body).toString())).toEqual([wholeStream])
+    expect(harness.recorded.completed.map(({ body }) => Buffer.from(body).toString())).toEqual([completeStream])
   })
 })
