--- a/test/_lib/sendOrder.ts
+++ b/test/_lib/sendOrder.ts
@@ -36,7 +36,7 @@
  *
  * @param caller - Origin of a router.
  * @param key - Idempotency key; the body is derived from it.
- * @returns What the caller was told.
+ * @returns The result that the caller received.
  */
 export const sendOrder = (caller: string, key: string): Promise<OrderResult> => send(key, `${caller}/orders/${key}`, {
   method: 'POST',
@@ -49,7 +49,7 @@
  *
  * @param caller - Origin of a router.
  * @param name - Name of the article that is looked up.
- * @returns What the caller was told.
+ * @returns The result that the caller received.
  */
 export const sendLookup = (caller: string, name: string): Promise<OrderResult> =>
   send(`lookup ${name}`, `${caller}/stock/${name}`, { headers: { authorization: `Bearer ${CALLER_KEY}` } })
--- a/test/integration/cutZone.test.ts
+++ b/test/integration/cutZone.test.ts
@@ -31,7 +31,7 @@
 })
 afterAll(async () => { await fleet.stop() })
 
-/** Cuts both peer links, which separates the two routers, and the platform link of the cut-off one. */
+/** Sets the fault of both peer links, which separates the two routers, and of the isolated router's platform link. */
 const setPartition = (fault: LinkFault): void => {
   for (const link of [connectedRouter.peerLink, isolatedRouter.peerLink, isolatedRouter.platformLink]) link.setFault(fault)
 }
@@ -77,8 +77,8 @@
     for (const setFault of [setPartition, unreachable.link.setFault]) setFault({ kind })
     const orders = await Promise.all([1, 2, 3].map((index) => sendOrder(isolatedRouter.caller, `order-${kind}-${index}`)))
     const lookups = [...await sendLookups(isolatedRouter, `at-once-${kind}`)]
-    await waitFor('the router to know that it is alone', () => isIsolated(isolatedRouter))
-    await waitFor('the lost server to be out of use', async () => !isInUse(await readState(isolatedRouter, unreachable.server.name)))
+    await waitFor('the isolated router to see no live peer', () => isIsolated(isolatedRouter))
+    await waitFor('the unreachable server to be out of use', async () => !isInUse(await readState(isolatedRouter, unreachable.server.name)))
     lookups.push(...await sendLookups(isolatedRouter, `alone-${kind}`))
     const chats = await Promise.all([true, false].map((stream) => sendChat(isolatedRouter.caller, `Is there penne, ${kind}?`, stream).whenEnded))
     orders.push(await sendOrder(isolatedRouter.caller, `order-${kind}-4`))
@@ -92,7 +92,7 @@
     expect(journal.filter(({ idempotencyKey }) => idempotencyKey?.startsWith(`order-${kind}`))).toEqual([])
     expect([...findOrderProblems([...orders, ...lookups], journal), ...findChatProblems(chats, journal)]).toEqual([])
     expect(await findLedgerProblems(fleet.routers)).toEqual([])
-    for (const router of fleet.routers) await waitFor('the lost server to be back', async () => isInUse(await readState(router, unreachable.server.name)))
+    for (const router of fleet.routers) await waitFor('the server to be in use again', async () => isInUse(await readState(router, unreachable.server.name)))
   })
 
   // A planned stop that is applied while a zone is partitioned would break requests there, or never reach it.
@@ -125,7 +125,7 @@
   // A server that is replaced while its zone is partitioned would still get requests there.
   it('sends no new request to a server that reports itself as leaving', async () => {
     setPartition({ kind: 'blackhole' })
-    await waitFor('the router to know that it is alone', () => isIsolated(isolatedRouter))
+    await waitFor('the isolated router to see no live peer', () => isIsolated(isolatedRouter))
     const leaving = fleet.services[LEAVING_SERVER]!
     await leaving.setFault({ fault: 'leaving', on: true })
     const ends = [...await sendLookups(isolatedRouter, 'first')]
--- a/test/platform/largeFleet.test.ts
+++ b/test/platform/largeFleet.test.ts
@@ -79,7 +79,8 @@
     expect(countLive(fleet)).toEqual([75])
   })
 
-  // A node whose view of the aggregators differs from its peers' receives no load sums, counts no requests of others and sends to full servers.
+  // A node whose ranking of the summing nodes differs from its peers' receives no load sums,
+  // counts no requests of others and sends to full servers.
   test('count the load of all nodes after the restart of a tenth of them', async () => {
     const fleet = await start(SIZE, createSeededRandom(seed).next)
     for (const node of fleet.nodes) node.resolve('loadView').recordStart(KEYS[0]!)
