--- a/test/_lib/createFaultProxy.ts
+++ b/test/_lib/createFaultProxy.ts
@@ -47,14 +47,14 @@
 }
 
 const writeUntilCut = (chunk: Chunk, limit: number): void => {
-  const room = limit - chunk.passed.bytes
-  if (chunk.bytes.byteLength < room) return write(chunk)
-  if (room <= 0) return resetPair(chunk.from, chunk.to)
+  const remainingBytes = limit - chunk.passed.bytes
+  if (chunk.bytes.byteLength < remainingBytes) return write(chunk)
+  if (remainingBytes <= 0) return resetPair(chunk.from, chunk.to)
   chunk.passed.bytes = limit
-  chunk.to.write(chunk.bytes.subarray(0, room), () => { resetPair(chunk.from, chunk.to) })
+  chunk.to.write(chunk.bytes.subarray(0, remainingBytes), () => { resetPair(chunk.from, chunk.to) })
 }
 
-const faultHandlers: { readonly [Kind in LinkFault['kind']]: (piece: Chunk, fault: Extract<LinkFault, { kind: Kind }>) => void } = {
+const faultHandlers: { readonly [Kind in LinkFault['kind']]: (chunk: Chunk, fault: Extract<LinkFault, { kind: Kind }>) => void } = {
   none: write,
   refuse: ({ from, to }) => { resetPair(from, to) },
   blackhole: ({ hold, retry }) => { hold(retry) },
@@ -87,7 +87,7 @@
   const forward = (from: Socket, to: Socket, direction: Direction): void => {
     const passed = { bytes: 0 }
     const forwardChunk = (bytes: Buffer): void => {
-      const handler = faultHandlers[fault.kind] as (piece: Chunk, fault: LinkFault) => void
+      const handler = faultHandlers[fault.kind] as (chunk: Chunk, fault: LinkFault) => void
       handler({ from, to, bytes, direction, passed, hold, retry: () => { forwardChunk(bytes) } }, fault)
     }
     const runOrHold = (action: () => void): void => { isHeld(direction) ? hold(() => { runOrHold(action) }) : action() }
--- a/test/_lib/createFaultyPlatform.ts
+++ b/test/_lib/createFaultyPlatform.ts
@@ -33,17 +33,17 @@
   let late: Call<unknown>[] = []
 
   const callWithFault = async <Value>(kind: string, name: string, isWrite: boolean, call: Call<Value>): Promise<Result<Value, PlatformError>> => {
-    const lost = failure<PlatformError>(isWrite ? { kind: 'outcomeUnknown', message: 'reply lost' } : { kind: 'unavailable', message: 'reply lost' })
+    const lostReply = failure<PlatformError>(isWrite ? { kind: 'outcomeUnknown', message: 'reply lost' } : { kind: 'unavailable', message: 'reply lost' })
     const faults: Readonly<Record<CallFault, Call<Value>>> = {
       none: call,
       refused: async () => failure({ kind: 'unavailable', message: 'refused' }),
       replyLost: async () => {
         await call()
-        return lost
+        return lostReply
       },
       late: async () => {
         late.push(call)
-        return lost
+        return lostReply
       },
       paused: async () => {
         await new Promise<void>((resolve) => { paused.push(resolve) })
--- a/test/_lib/sendChat.ts
+++ b/test/_lib/sendChat.ts
@@ -77,12 +77,12 @@
 
 /** Lists wrong answers and false refusals, by comparing what callers received with the stand-ins' answers and journals. */
 export const findChatProblems = (ends: readonly ChatResult[], journal: readonly JournalEntry[]): readonly string[] => {
-  const ran = new Set(journal.map(({ requestId }) => requestId))
+  const ranRequests = new Set(journal.map(({ requestId }) => requestId))
   const wrong = ends
     .filter(({ question, text }) => text !== undefined && text !== composeAnswer(createMessages(question)).text)
     .map(({ question }) => `${question}: the caller accepted a wrong or incomplete answer`)
   const falseRefusals = ends
-    .filter(({ requestId, outcome }) => outcome === 'not-run' && requestId !== undefined && ran.has(requestId))
+    .filter(({ requestId, outcome }) => outcome === 'not-run' && requestId !== undefined && ranRequests.has(requestId))
     .map(({ question }) => `${question}: refused as not run, but the journal has the request`)
   return [...wrong, ...falseRefusals]
 }
