--- a/test/_lib/createConfigurationFleet.ts
+++ b/test/_lib/createConfigurationFleet.ts
@@ -1,7 +1,7 @@
 /**
- * Several configuration holders over one platform and a network in memory. In
- * place of the membership service each node sees the others' generation every
- * half second, unless the link between them is cut.
+ * Creates several configuration holders over one in-memory platform and network.
+ * A simplified gossip replaces the membership service: every 500 ms each node
+ * receives the generation of all other nodes whose link to it is not cut.
  */
 import { createSeededRandom } from '../../src/adapters/seededRandom/index.js'
 import { createManualClock } from '../../src/emulator/createManualClock/index.js'
@@ -11,7 +11,7 @@
 import { createConfiguration } from '../../src/services/configuration/index.js'
 import { createFaultyPlatform, type CallFault, type FaultyPlatform } from './createFaultyPlatform.js'
 import { createSheet } from './createSheet.js'
-import { createHastyClock, createOperator, type Operator } from './createOperator.js'
+import { createImmediateClock, createOperator, type Operator } from './createOperator.js'
 import type { ConfigurationHolder, Logger, Member, PeerAddress, Platform } from '../../src/types/index.js'
 
 export type FleetNode = {
@@ -20,10 +20,10 @@
   readonly holder: () => ConfigurationHolder
   readonly platform: FaultyPlatform
   readonly start: () => void
-  /** Forgets everything, as a VM that was replaced; `start` brings it back. */
+  /** Stops the node and discards its memory, as when its VM is replaced; `start` starts it again. */
   readonly stop: () => void
   readonly member: () => Member
-  readonly see: (member: Member) => void
+  readonly receiveMember: (member: Member) => void
 }
 
 export type ConfigurationFleet = {
@@ -34,7 +34,7 @@
   readonly generations: () => readonly number[]
   readonly cut: (one: FleetNode, other: FleetNode) => void
   readonly heal: () => void
-  /** Puts older bytes back as the root, as a restore from a backup does. */
+  /** Overwrites the root object with older bytes, as a restore from a backup does. */
   readonly overwriteRoot: (bytes: Uint8Array) => Promise<void>
   readonly readRootBytes: () => Promise<Uint8Array>
 }
@@ -53,7 +53,7 @@
     const availabilityZone = `venkov-${'abcdefgh'[index % zones]}`
     const address: PeerAddress = { host: nodeId, port: 1 }
     const faulty = createFaultyPlatform(platform)
-    const seen = new Map<string, Member>()
+    const knownMembers = new Map<string, Member>()
     let listeners: (() => void)[] = []
     let starts = 0
     let service: ReturnType<typeof createConfiguration> | undefined
@@ -61,7 +61,7 @@
     const build = (): ReturnType<typeof createConfiguration> => createConfiguration({
       platform: faulty,
       peerTransport: network.createTransport(address),
-      peers: () => [...seen.values()],
+      peers: () => [...knownMembers.values()],
       onPeerChange: (listener) => { listeners.push(listener) },
       clock,
       random: createSeededRandom(seed * 1000 + index + starts * 100),
@@ -83,11 +83,11 @@
         service?.stop?.()
         service = undefined
         listeners = []
-        seen.clear()
+        knownMembers.clear()
       },
       member: () => ({ nodeId, incarnation: starts, address, availabilityZone, state: service === undefined ? 'dead' : 'live', generation: service?.api.generation() ?? 0 }),
-      see: (member) => {
-        seen.set(member.nodeId, member)
+      receiveMember: (member) => {
+        knownMembers.set(member.nodeId, member)
         for (const listener of listeners) listener()
       }
     }
@@ -99,22 +99,22 @@
   const gossip = (): void => {
     for (const node of nodes) {
       if (node.member().state === 'dead') continue
-      for (const other of nodes) if (other !== node && !isCut(node, other)) node.see(other.member())
+      for (const other of nodes) if (other !== node && !isCut(node, other)) node.receiveMember(other.member())
     }
   }
 
   const readRootBytes = async (): Promise<Uint8Array> => {
     const found = await platform.readObject('configuration/root')
-    if (!found.ok || found.value === undefined) throw new Error('the platform has no root')
+    if (!found.ok || found.value === undefined) throw new Error('object configuration/root not found on the platform')
     return found.value.bytes
   }
 
   return {
     nodes,
     platform,
-    operator: createOperator('jana', platform, createHastyClock()),
+    operator: createOperator('jana', platform, createImmediateClock()),
     run: async (durationMs) => {
-      for (let passed = 0; passed < durationMs; passed += GOSSIP_INTERVAL_MS) {
+      for (let elapsedMs = 0; elapsedMs < durationMs; elapsedMs += GOSSIP_INTERVAL_MS) {
         gossip()
         await clock.advanceAndSettle(GOSSIP_INTERVAL_MS)
       }
@@ -148,9 +148,9 @@
 
 export const applyWeight = async (fleet: ConfigurationFleet, weight: number, against: number): Promise<void> => {
   const outcome = await fleet.operator.apply(createSheet(weight), against)
-  if (outcome.kind !== 'applied') throw new Error(`the sheet was not applied: ${outcome.kind}`)
+  if (outcome.kind !== 'applied') throw new Error(`sheet apply failed: ${outcome.kind}`)
 }
 
-export const cutOff = (fleet: ConfigurationFleet, node: FleetNode): void => {
+export const isolateNode = (fleet: ConfigurationFleet, node: FleetNode): void => {
   for (const other of fleet.nodes) if (other !== node) fleet.cut(node, other)
 }
--- a/test/_lib/createDispatchHarness.ts
+++ b/test/_lib/createDispatchHarness.ts
@@ -1,6 +1,6 @@
 /**
- * Dispatch between a real listener for callers and a real client for backend
- * servers, with small fakes for the services that it asks.
+ * Runs dispatch with the real caller listener and the real backend HTTP client;
+ * the services it depends on are replaced by fakes that record their calls.
  */
 import { createHash } from 'node:crypto'
 import { createBackendHttp } from '../../src/adapters/backendHttp/index.js'
@@ -46,8 +46,8 @@
   }
 }
 
-/** What the fakes saw. */
-export type Recorded = {
+/** Calls that the fakes recorded. */
+export type RecordedCalls = {
   readonly started: string[]
   readonly ended: string[]
   readonly outcomes: string[]
@@ -67,15 +67,15 @@
   readonly claimOutcome?: ClaimOutcome
   readonly admissionRefusal?: AdmissionRefusal
   readonly directoryEntry?: string
-  /** Backend servers that the load probes have lost. */
+  /** Backend servers that no longer answer load probes. */
   readonly unreachable?: readonly string[]
-  /** In place of the real client. */
+  /** Replaces the real backend HTTP client. */
   readonly backendClient?: BackendClient
 }
 
 export type TestDispatch = {
   readonly dispatch: Dispatch
-  readonly recorded: Recorded
+  readonly recorded: RecordedCalls
   readonly dependencies: DispatchDependencies
 }
 
@@ -84,7 +84,7 @@
   readonly close: () => Promise<void>
 }
 
-const createFakes = (options: HarnessOptions, configuration: Configuration | undefined, recorded: Recorded): Omit<DispatchDependencies, 'clock' | 'random' | 'backendClient' | 'logger' | 'metrics'> => ({
+const createFakes = (options: HarnessOptions, configuration: Configuration | undefined, recorded: RecordedCalls): Omit<DispatchDependencies, 'clock' | 'random' | 'backendClient' | 'logger' | 'metrics'> => ({
   configuration: { current: () => configuration, generation: () => 1, onChange: () => {}, pending: () => undefined },
   admission: {
     admit: async () => options.admissionRefusal === undefined ? success({ finish: () => { recorded.finishedTickets += 1 } }) : failure(options.admissionRefusal),
@@ -125,10 +125,10 @@
   }
 })
 
-/** Dispatch with its fakes alone, without a listener. */
+/** Creates dispatch with its fakes, without a caller listener. */
 export const createTestDispatch = (options: HarnessOptions): TestDispatch => {
   const configuration = 'configuration' in options ? options.configuration : createConfiguration(options.origins)
-  const recorded: Recorded = { started: [], ended: [], outcomes: [], marked: [], released: [], completed: [], stored: [], hints: [], finishedTickets: 0 }
+  const recorded: RecordedCalls = { started: [], ended: [], outcomes: [], marked: [], released: [], completed: [], stored: [], hints: [], finishedTickets: 0 }
   const dependencies: DispatchDependencies = {
     clock: createSystemClock(),
     random: createSeededRandom(7),
--- a/test/_lib/createFaultProxy.ts
+++ b/test/_lib/createFaultProxy.ts
@@ -1,44 +1,44 @@
-/** A TCP proxy on loopback that does to its connections what networks and dying machines do. */
+/** Runs a TCP proxy on loopback that injects faults of networks and failing hosts into its connections. */
 import { connect, createServer } from 'node:net'
 import type { AddressInfo, Socket } from 'node:net'
 
 export type LinkFault =
   | { readonly kind: 'none' }
-  /** Closes new connections at once with a reset, and cuts the open ones. */
+  /** Resets new connections at once, and all open ones. */
   | { readonly kind: 'refuse' }
-  /** Accepts and holds everything back until another fault is set, as a cut link does to open connections. */
+  /** Accepts connections but holds back all data until another fault is set, as a network partition does to open connections. */
   | { readonly kind: 'blackhole' }
-  /** Holds each piece of data back for so many milliseconds each way. */
+  /** Delays each chunk by `ms` milliseconds in both directions. */
   | { readonly kind: 'delay', readonly ms: number }
-  /** Resets a connection after so many bytes towards the client, or towards the server. */
+  /** Resets a connection after `bytes` bytes in the given direction. */
   | { readonly kind: 'cutAfter', readonly direction: 'toClient' | 'toServer', readonly bytes: number }
-  /** Holds back what goes one way; the other way works. */
+  /** Holds back the data of one direction; the other direction works. */
   | { readonly kind: 'holdDirection', readonly direction: 'toClient' | 'toServer' }
 
 export type FaultProxy = {
   readonly port: number
   readonly address: string
   readonly url: string
-  /** Sets the fault of connections old and new. */
+  /** Sets the fault of open and new connections. */
   readonly setFault: (fault: LinkFault) => void
-  /** Resets every open connection, once. */
+  /** Resets all connections that are open now. */
   readonly resetAll: () => void
   readonly connections: () => number
-  /** Changes where new connections go, when the target was started anew or after the proxy. */
+  /** Changes the target port of new connections, for a target that was restarted or is started after the proxy. */
   readonly setTarget: (port: number) => void
   readonly close: () => Promise<void>
 }
 
 type Direction = 'toClient' | 'toServer'
 
-type Piece = { readonly from: Socket, readonly to: Socket, readonly bytes: Buffer, readonly direction: Direction, readonly passed: { bytes: number }, readonly hold: (action: () => void) => void, readonly retry: () => void }
+type Chunk = { readonly from: Socket, readonly to: Socket, readonly bytes: Buffer, readonly direction: Direction, readonly passed: { bytes: number }, readonly hold: (action: () => void) => void, readonly retry: () => void }
 
 const resetPair = (from: Socket, to: Socket): void => {
   from.resetAndDestroy()
   to.resetAndDestroy()
 }
 
-const write = ({ from, to, bytes, passed }: Piece): void => {
+const write = ({ from, to, bytes, passed }: Chunk): void => {
   passed.bytes += bytes.byteLength
   if (to.destroyed) return
   if (to.write(bytes)) return
@@ -46,28 +46,28 @@
   to.once('drain', () => from.resume())
 }
 
-const writeUntilCut = (piece: Piece, limit: number): void => {
-  const room = limit - piece.passed.bytes
-  if (piece.bytes.byteLength < room) return write(piece)
-  if (room <= 0) return resetPair(piece.from, piece.to)
-  piece.passed.bytes = limit
-  piece.to.write(piece.bytes.subarray(0, room), () => { resetPair(piece.from, piece.to) })
+const writeUntilCut = (chunk: Chunk, limit: number): void => {
+  const remainingBytes = limit - chunk.passed.bytes
+  if (chunk.bytes.byteLength < remainingBytes) return write(chunk)
+  if (remainingBytes <= 0) return resetPair(chunk.from, chunk.to)
+  chunk.passed.bytes = limit
+  chunk.to.write(chunk.bytes.subarray(0, remainingBytes), () => { resetPair(chunk.from, chunk.to) })
 }
 
-const forwards: { readonly [Kind in LinkFault['kind']]: (piece: Piece, fault: Extract<LinkFault, { kind: Kind }>) => void } = {
+const faultHandlers: { readonly [Kind in LinkFault['kind']]: (chunk: Chunk, fault: Extract<LinkFault, { kind: Kind }>) => void } = {
   none: write,
   refuse: ({ from, to }) => { resetPair(from, to) },
   blackhole: ({ hold, retry }) => { hold(retry) },
-  delay: (piece, { ms }) => { setTimeout(() => { write(piece) }, ms) },
-  cutAfter: (piece, { direction, bytes }) => { direction === piece.direction ? writeUntilCut(piece, bytes) : write(piece) },
-  holdDirection: (piece, { direction }) => { direction === piece.direction ? piece.hold(piece.retry) : write(piece) }
+  delay: (chunk, { ms }) => { setTimeout(() => { write(chunk) }, ms) },
+  cutAfter: (chunk, { direction, bytes }) => { direction === chunk.direction ? writeUntilCut(chunk, bytes) : write(chunk) },
+  holdDirection: (chunk, { direction }) => { direction === chunk.direction ? chunk.hold(chunk.retry) : write(chunk) }
 }
 
 /**
- * Starts a proxy before a loopback port.
+ * Starts a proxy in front of a loopback port.
  *
- * @param firstTargetPort - Port that connections are passed on to; 0 while there is none yet.
- * @returns The proxy, without a fault.
+ * @param firstTargetPort - Port that connections are forwarded to; 0 while there is none yet.
+ * @returns The running proxy, with no fault set.
  */
 export const createFaultProxy = async (firstTargetPort: number): Promise<FaultProxy> => {
   let fault: LinkFault = { kind: 'none' }
@@ -86,14 +86,14 @@
 
   const forward = (from: Socket, to: Socket, direction: Direction): void => {
     const passed = { bytes: 0 }
-    const pass = (bytes: Buffer): void => {
-      const handler = forwards[fault.kind] as (piece: Piece, fault: LinkFault) => void
-      handler({ from, to, bytes, direction, passed, hold, retry: () => { pass(bytes) } }, fault)
+    const forwardChunk = (bytes: Buffer): void => {
+      const handler = faultHandlers[fault.kind] as (chunk: Chunk, fault: LinkFault) => void
+      handler({ from, to, bytes, direction, passed, hold, retry: () => { forwardChunk(bytes) } }, fault)
     }
-    const passOrHold = (action: () => void): void => { isHeld(direction) ? hold(() => { passOrHold(action) }) : action() }
-    from.on('data', pass)
-    from.on('end', () => { passOrHold(() => { to.end() }) })
-    from.on('close', () => { passOrHold(() => { to.destroy() }) })
+    const runOrHold = (action: () => void): void => { isHeld(direction) ? hold(() => { runOrHold(action) }) : action() }
+    from.on('data', forwardChunk)
+    from.on('end', () => { runOrHold(() => { to.end() }) })
+    from.on('close', () => { runOrHold(() => { to.destroy() }) })
   }
 
   const server = createServer({ allowHalfOpen: true }, (client) => {
--- a/test/_lib/createFaultyPlatform.ts
+++ b/test/_lib/createFaultyPlatform.ts
@@ -1,26 +1,26 @@
-/** A platform seen over a bad link: calls refused, replies lost, writes that arrive late, callers paused. */
+/** Wraps a platform and injects faults into its calls: refused calls, lost replies, late writes, paused callers. */
 import { failure } from '../../src/kernel/index.js'
 import type { Platform, PlatformError, Result } from '../../src/types/index.js'
 
 export type CallFault =
   | 'none'
-  /** Refused; surely without effect. */
+  /** The call is refused and has no effect. */
   | 'refused'
-  /** The call takes effect, its reply is lost. */
+  /** The call takes effect, but its reply is lost. */
   | 'replyLost'
-  /** The caller is told that the outcome is unknown; the call takes effect when `deliverLate` is called. */
+  /** The caller gets an unknown outcome; the call takes effect when `deliverLate` is called. */
   | 'late'
-  /** The call waits until `resume`, then goes on as if nothing had happened. */
+  /** The call waits until `resume` is called, then proceeds normally. */
   | 'paused'
 
 export type FaultyPlatform = Platform & {
-  /** Chooses the fault of each call from now on; may do something first, such as another operator's write. */
+  /** Sets the function that selects the fault of each later call; it may act first, such as to write as another operator. */
   readonly setFault: (choose: (call: string, name: string) => CallFault | Promise<CallFault>) => void
   readonly resume: () => void
   readonly deliverLate: () => Promise<void>
   /** Calls that wait for `resume`. */
   readonly pausedCalls: () => number
-  /** The kind of every call so far, in order. */
+  /** Kinds of all calls so far, in order. */
   readonly calls: () => readonly string[]
 }
 
@@ -32,18 +32,18 @@
   let paused: (() => void)[] = []
   let late: Call<unknown>[] = []
 
-  const pass = async <Value>(kind: string, name: string, isWrite: boolean, call: Call<Value>): Promise<Result<Value, PlatformError>> => {
-    const lost = failure<PlatformError>(isWrite ? { kind: 'outcomeUnknown', message: 'reply lost' } : { kind: 'unavailable', message: 'reply lost' })
+  const callWithFault = async <Value>(kind: string, name: string, isWrite: boolean, call: Call<Value>): Promise<Result<Value, PlatformError>> => {
+    const lostReply = failure<PlatformError>(isWrite ? { kind: 'outcomeUnknown', message: 'reply lost' } : { kind: 'unavailable', message: 'reply lost' })
     const faults: Readonly<Record<CallFault, Call<Value>>> = {
       none: call,
       refused: async () => failure({ kind: 'unavailable', message: 'refused' }),
       replyLost: async () => {
         await call()
-        return lost
+        return lostReply
       },
       late: async () => {
         late.push(call)
-        return lost
+        return lostReply
       },
       paused: async () => {
         await new Promise<void>((resolve) => { paused.push(resolve) })
@@ -56,12 +56,12 @@
 
   return {
     ...platform,
-    readObject: (name) => pass('read', name, false, () => platform.readObject(name)),
-    createObject: (name, bytes) => pass('create', name, true, () => platform.createObject(name, bytes)),
-    updateObject: (name, bytes, expected) => pass('update', name, true, () => platform.updateObject(name, bytes, expected)),
-    deleteObject: (name, expected) => pass('delete', name, true, () => platform.deleteObject(name, expected)),
-    listObjects: (prefix, options) => pass('list', prefix, false, () => platform.listObjects(prefix, options)),
-    watchObjects: (prefix, revision, timeoutMs) => pass('watch', prefix, false, () => platform.watchObjects(prefix, revision, timeoutMs)),
+    readObject: (name) => callWithFault('read', name, false, () => platform.readObject(name)),
+    createObject: (name, bytes) => callWithFault('create', name, true, () => platform.createObject(name, bytes)),
+    updateObject: (name, bytes, expected) => callWithFault('update', name, true, () => platform.updateObject(name, bytes, expected)),
+    deleteObject: (name, expected) => callWithFault('delete', name, true, () => platform.deleteObject(name, expected)),
+    listObjects: (prefix, options) => callWithFault('list', prefix, false, () => platform.listObjects(prefix, options)),
+    watchObjects: (prefix, revision, timeoutMs) => callWithFault('watch', prefix, false, () => platform.watchObjects(prefix, revision, timeoutMs)),
     setFault: (choose) => { chooseFault = choose },
     resume: () => {
       const resumed = paused
--- a/test/_lib/sendChat.ts
+++ b/test/_lib/sendChat.ts
@@ -1,27 +1,27 @@
-/** Chats as a caller sends them, with all that the caller can tell of the answer. */
+/** Sends chats as a caller and checks what the caller received against the journals of the engines. */
 import { composeAnswer } from '../../src/emulator/composeAnswer/index.js'
 import type { JournalEntry } from './startFleet.js'
 import { CALLER_KEY, MODEL } from './startFleet.js'
 
-export type ChatEnd = {
+export type ChatResult = {
   readonly question: string
   readonly requestId: string | undefined
-  /** What the caller takes for the whole answer; `undefined` when it was told of an error. */
+  /** The text the caller accepts as the complete answer; `undefined` when it received an error. */
   readonly text: string | undefined
-  /** Of a refusal. */
+  /** Outcome that a refusal states. */
   readonly outcome: string | undefined
-  /** What the caller was told in place of an answer. */
-  readonly told: string
+  /** Body of the error that the caller received instead of an answer. */
+  readonly errorBody: string
 }
 
 export type SentChat = {
-  /** Resolves when the first bytes of the answer are there, or it has ended. */
+  /** Resolves when the first bytes of the answer have arrived, or when it has ended. */
   readonly whenStarted: Promise<void>
-  readonly whenEnded: Promise<ChatEnd>
+  readonly whenEnded: Promise<ChatResult>
 }
 
-/** Enough of a broken stream to show its error event. */
-const ERROR_LENGTH = 300
+/** Characters kept from the end of a broken stream: enough to show its error event. */
+const MAXIMUM_ERROR_CHARACTERS = 300
 const END_MARKER = 'data: [DONE]\n\n'
 
 const createMessages = (question: string) => [{ role: 'user', content: question }]
@@ -31,58 +31,58 @@
   .map((line) => JSON.parse(line.slice('data: '.length)).choices?.[0]?.delta?.content ?? '')
   .join('')
 
-/** A body that ended properly; without its end marker it is given as it is, so that it shows. */
+/** Reads the text of a body that ended without a connection error. A stream without its end marker is returned raw, so that the comparison fails. */
 const readText = (body: string, stream: boolean): string => {
   if (!stream) return JSON.parse(body).choices[0].message.content
   return body.endsWith(END_MARKER) ? readStreamedText(body) : body
 }
 
-const readEnd = async (question: string, response: Response, stream: boolean, start: () => void): Promise<ChatEnd> => {
+const readResult = async (question: string, response: Response, stream: boolean, markStarted: () => void): Promise<ChatResult> => {
   const requestId = response.headers.get('x-request-id') ?? undefined
   const decoder = new TextDecoder()
   let body = ''
   try {
     for await (const bytes of response.body ?? []) {
       body += decoder.decode(bytes, { stream: true })
-      start()
+      markStarted()
     }
   } catch {
-    return { question, requestId, text: undefined, outcome: undefined, told: body.slice(-ERROR_LENGTH) }
+    return { question, requestId, text: undefined, outcome: undefined, errorBody: body.slice(-MAXIMUM_ERROR_CHARACTERS) }
   }
-  if (response.status === 200) return { question, requestId, text: readText(body, stream), outcome: undefined, told: '' }
-  return { question, requestId, text: undefined, outcome: response.headers.get('x-request-outcome') ?? undefined, told: body }
+  if (response.status === 200) return { question, requestId, text: readText(body, stream), outcome: undefined, errorBody: '' }
+  return { question, requestId, text: undefined, outcome: response.headers.get('x-request-outcome') ?? undefined, errorBody: body }
 }
 
 /**
- * Sends one question as a chat of its own.
+ * Sends one question as a separate chat.
  *
  * @param caller - Origin of a router.
- * @param question - The one message; the stand-in's answer follows from it.
- * @param stream - Whether to ask for a stream.
- * @returns When the answer starts and how it ends.
+ * @param question - The only message; the stand-in derives its answer from it.
+ * @param stream - Whether to request a streamed answer.
+ * @returns Promises of the start and the end of the answer.
  */
 export const sendChat = (caller: string, question: string, stream: boolean): SentChat => {
-  let start = (): void => {}
-  const whenStarted = new Promise<void>((resolve) => { start = resolve })
-  const ask = async (): Promise<ChatEnd> => {
+  let markStarted = (): void => {}
+  const whenStarted = new Promise<void>((resolve) => { markStarted = resolve })
+  const sendRequest = async (): Promise<ChatResult> => {
     const response = await fetch(`${caller}/v1/chat/completions`, {
       method: 'POST',
       headers: { authorization: `Bearer ${CALLER_KEY}`, 'content-type': 'application/json' },
       body: JSON.stringify({ model: MODEL, stream, messages: createMessages(question) })
     })
-    return await readEnd(question, response, stream, start)
+    return await readResult(question, response, stream, markStarted)
   }
-  return { whenStarted, whenEnded: ask().finally(start) }
+  return { whenStarted, whenEnded: sendRequest().finally(markStarted) }
 }
 
-/** Problems with what callers were told, by the stand-ins' answers and journals. */
-export const judgeChats = (ends: readonly ChatEnd[], journal: readonly JournalEntry[]): readonly string[] => {
-  const ran = new Set(journal.map(({ requestId }) => requestId))
+/** Lists wrong answers and false refusals, by comparing what callers received with the stand-ins' answers and journals. */
+export const findChatProblems = (ends: readonly ChatResult[], journal: readonly JournalEntry[]): readonly string[] => {
+  const ranRequests = new Set(journal.map(({ requestId }) => requestId))
   const wrong = ends
     .filter(({ question, text }) => text !== undefined && text !== composeAnswer(createMessages(question)).text)
-    .map(({ question }) => `${question}: what passed for the whole answer is not`)
+    .map(({ question }) => `${question}: the caller accepted a wrong or incomplete answer`)
   const falseRefusals = ends
-    .filter(({ requestId, outcome }) => outcome === 'not-run' && requestId !== undefined && ran.has(requestId))
-    .map(({ question }) => `${question}: refused as not run, but ran`)
+    .filter(({ requestId, outcome }) => outcome === 'not-run' && requestId !== undefined && ranRequests.has(requestId))
+    .map(({ question }) => `${question}: refused as not run, but the journal has the request`)
   return [...wrong, ...falseRefusals]
 }
