--- a/src/node/createRouterNode/_lib/registerConfiguration.ts
+++ b/src/node/createRouterNode/_lib/registerConfiguration.ts
@@ -6,7 +6,7 @@
 
 const hashContent = (content: string | Uint8Array): string => createHash('sha256').update(content).digest('hex')
 
-/** Registers the holder of the configuration. */
+/** Registers the configuration service. */
 export const registerConfiguration = (kernel: Kernel<RouterServices>, dependencies: RouterNodeDependencies): void => {
   const { settings, clock, random, platform, transport, logger } = dependencies
   kernel.register({
--- a/src/services/claims/_lib/createShardQueue.ts
+++ b/src/services/claims/_lib/createShardQueue.ts
@@ -56,7 +56,7 @@
   entry.keyId.length + (entry.kind === 'completion' ? entry.answer?.body.byteLength ?? 0 : 0)
 
 /**
- * Creates the queue before one shard's log.
+ * Creates the queue in front of one shard's log.
  *
  * @param dependencies - Clock, platform, gate and the shard's log.
  * @param options - Shard number, flush interval in milliseconds, pruning.
@@ -90,7 +90,7 @@
     return record !== undefined && record.claimId !== entry.claimId
   }
 
-  /** Skips claims whose key another claim holds: they need no write, once the log was read to its end. */
+  /** Skips claims whose key another claim holds: once the log has been read to its end, they need no write. */
   const commit = async (entries: readonly ClaimEntry[]): Promise<Result<undefined, ShardLogError>> => {
     const released = new Set(entries.filter((entry) => entry.kind === 'release').map((entry) => entry.keyId))
     const isBlocked = (entry: ClaimEntry): boolean => entry.kind === 'claim' && !released.has(entry.keyId) && isHeldByOther(entry)
--- a/src/services/dispatch/_lib/createHintAuthenticator.ts
+++ b/src/services/dispatch/_lib/createHintAuthenticator.ts
@@ -4,7 +4,7 @@
 
 const HINT_KEY_LABEL = 'dotterelspoke chat hint'
 const HINT_KEY_BYTES = 32
-/** The HMAC is truncated to 128 bits: it stays infeasible to guess, and the hint is sent with every answer. */
+/** The HMAC is truncated to 128 bits, which is infeasible to guess and keeps the hint short: it is sent with every answer. */
 const CODE_BYTES = 16
 
 export const hashHex = (...parts: readonly (string | Uint8Array)[]): string => {
--- a/src/services/dispatch/_lib/createReply.ts
+++ b/src/services/dispatch/_lib/createReply.ts
@@ -27,7 +27,7 @@
   readonly iterable: AsyncIterable<AnswerPart>
 }
 
-/** Passes a callback to `storeNotify`; resolves when it is called or the signal aborts, and removes its listener. */
+/** Passes a callback to `storeNotify`; resolves, and removes its abort listener, when it is called or the signal aborts. */
 const waitForNotification = (signal: AbortSignal, storeNotify: (notify: () => void) => void): Promise<void> => new Promise((resolve) => {
   const notify = (): void => {
     signal.removeEventListener('abort', notify)
--- a/src/services/fleetLoad/test.ts
+++ b/src/services/fleetLoad/test.ts
@@ -71,7 +71,7 @@
     expect(new Set(readAll('engine-0'))).toEqual(new Set([0]))
   })
 
-  // The counts of dead routers would remain, or no router would sum any more.
+  // Otherwise the counts of dead routers would remain, or no router would sum any more.
   it('continues when routers that sum die', async () => {
     const { clock, nodes, readAll, isDead } = createFleet(8)
     for (const { counts } of nodes) counts.set('engine-2', 1)
@@ -84,7 +84,7 @@
     expect(new Set(readAll('engine-2'))).toEqual(new Set([3]))
   })
 
-  // The counts of an unreachable zone would never expire.
+  // Otherwise the counts of an unreachable zone would never expire.
   it('drops the counts of a partitioned zone', async () => {
     const { clock, network, nodes, readAll } = createFleet(8)
     for (const { counts } of nodes) counts.set('engine-0', 1)
@@ -96,7 +96,7 @@
     expect(new Set(readAll('engine-0'))).toEqual(new Set([3]))
   })
 
-  // Sums that waited for the latest start of their stage arrived half a period late, and a burst went to one server.
+  // Sums that wait for the latest start of their stage arrive half a period late, and a burst would go to one server.
   it('publishes sums as soon as all their inputs have arrived', async () => {
     const { clock, nodes, readAll } = createFleet(9)
     await clock.advanceAndSettle(SETTLE_MS)
@@ -115,7 +115,7 @@
     expect(readAll('engine-0').slice(0, 8)).toEqual(Array.from({ length: 8 }, () => 7))
   })
 
-  // During a rolling release the list changes many times a second and differs between nodes; all counts would be dropped.
+  // During a rolling release the list changes many times a second and differs between nodes. Counts that are valid for one list only would all be dropped.
   it('counts the load of servers that are in both of two different lists', async () => {
     const { clock, nodes, readAll } = createFleet(76)
     nodes.forEach(({ counts, setServers }, index) => {
@@ -126,8 +126,8 @@
     expect(new Set(readAll('engine-1'))).toEqual(new Set([75]))
   })
 
-  // Servers in a different order in the list of one node must not be charged with each other's load.
-  it('charges no server with the load of another server', async () => {
+  // Servers may be in a different order in the list of one node; their loads must not be mixed up.
+  it('does not attribute the load of one server to another', async () => {
     const { clock, nodes, readAll } = createFleet(6)
     for (const { counts } of nodes) counts.set('engine-0', 4)
     nodes[0]!.setServers([createServer(2), createServer(0), createServer(1)])
--- a/src/services/forwarding/_lib/createEventReader.test.ts
+++ b/src/services/forwarding/_lib/createEventReader.test.ts
@@ -12,7 +12,7 @@
 
 describe('createEventReader', () => {
   test('reads events and their ids', () => expect(read([STREAM])).toMatchObject({ ids: [1, 2, 3], pending: 0 }))
-  test('keeps back an incomplete event', () => expect(read(['id: 1\ndata: one\n\nid: 2\nda'])).toMatchObject({ ids: [1], pending: 8 }))
+  test('holds back an incomplete event', () => expect(read(['id: 1\ndata: one\n\nid: 2\nda'])).toMatchObject({ ids: [1], pending: 8 }))
   test('reads an event without an id', () => expect(read(['data: x\n\n']).ids).toEqual([undefined]))
   test('changes no byte, wherever the stream is cut into chunks', () => {
     fc.assert(fc.property(fc.array(fc.integer({ min: 1, max: STREAM.length - 1 }), { maxLength: 12 }), (cuts) => {
--- a/src/services/forwarding/_lib/createFinalAnswer.ts
+++ b/src/services/forwarding/_lib/createFinalAnswer.ts
@@ -32,7 +32,7 @@
   readonly finishWithReportedFailure: () => void
 }
 
-/** Creates the end of one request. */
+/** Creates the final answer of one request. */
 export const createFinalAnswer = ({ caller, record, random, readProgress, abortAttempt, onDone }: FinalAnswerDependencies): FinalAnswer => {
   let isDone = false
   let reportedFailure: ReportedFailure | undefined
--- a/src/services/forwarding/_lib/createShutdownGate.ts
+++ b/src/services/forwarding/_lib/createShutdownGate.ts
@@ -1,4 +1,4 @@
-/** Decides whether a node that is shutting down accepts a request or retries it. */
+/** Decides whether a node that is shutting down still sends or retries a request. */
 import type { StreamDurations } from './createStreamDurations.js'
 import type { TokenPace } from './createTokenPace.js'
 import { estimateDuration, DEFAULT_TOKEN_INTERVAL_MS } from '../../../decisions/estimateDuration/index.js'
--- a/src/services/forwarding/_lib/createStreamDurations.test.ts
+++ b/src/services/forwarding/_lib/createStreamDurations.test.ts
@@ -29,13 +29,13 @@
     expect(record.shareOver(ROUTE, 5_000, now)).toBe(0)
   })
 
-  // Soon after a node's start only short streams have ended, so a long one was expected to be as short.
+  // Soon after a node's start only short streams have ended. Without those that still run, long streams would be expected to be short too.
   test('counts streams that still run', () => {
     const { record, now } = createDurations([...repeat(20, 500), ...repeat(20, undefined)])
     expect(record.shareOver(ROUTE, 2_000, now)).toBeCloseTo(19 / 39)
   })
 
-  // A node that was shut down some seconds after its start had no stream that began long enough ago, and refused nearly all requests.
+  // Otherwise a node that is shut down some seconds after its start, without a stream that began long enough ago, would refuse nearly all requests.
   test('uses a shorter time on a recently started node, and errs on the high side', () => {
     const ended = createDurations(repeat(30, 500))
     expect(ended.record.shareOver(ROUTE, 25_000, ended.now)).toBe(0)
--- a/src/services/forwarding/_lib/selectInstance.test.ts
+++ b/src/services/forwarding/_lib/selectInstance.test.ts
@@ -58,7 +58,7 @@
   test('selects the server that caches the prompt while it is under the load bound', () =>
     expect(choose(OPEN)?.instance.id).toBe('keeper'))
 
-  // The bound was a multiple of the mean over the eligible servers only: with a third of all servers drained it was half as high again as configured.
+  // A bound relative to the mean over the eligible servers only would be half as high again as configured when a third of all servers is drained.
   test.each<[string, Server]>([
     ['in a drained zone', { zone: 'drained', load: 0 }],
     ['that are warming up', { zone: 'a', load: 0, isWarming: true }],
--- a/src/services/forwarding/index.ts
+++ b/src/services/forwarding/index.ts
@@ -146,7 +146,7 @@
     handler.assign(route, account)
   }
 
-  /** Input of the order in which deferred requests are sent. A request without a route gets a target of 0: it is refused whenever its turn comes. */
+  /** Builds the values by which deferred requests are ordered. A request without a route gets a target of 0: it is refused, whatever its position. */
   const toOrderInput = ({ request, admitNow }: PendingRequest): DeferredRequest & Pick<PendingRequest, 'admitNow'> => {
     const route = selectGatewayRoute(readIndex(), request.host, request.target)
     const ageMs = clock.now() - request.receivedAt
--- a/src/services/forwarding/test.ts
+++ b/src/services/forwarding/test.ts
@@ -147,7 +147,7 @@
 })
 
 describe('a node that is shutting down', () => {
-  // A request that was admitted in time but waited for its body before the send was cut off by the end of the node.
+  // Otherwise a request that is admitted in time and then waits for its body would be cut off when the node exits.
   test.each([[100, ['r1'], []], [800, [], ['503 shuttingDown']]])('checks the remaining time again after %i ms of waiting for a body', async (bodyAfterMs, sent, answers) => {
     const node = startNode()
     node.provideInitialState()
@@ -157,7 +157,7 @@
     expect([node.sent, node.answers]).toEqual([sent, answers])
   })
 
-  /** Breaks off a stream after its first event, `remainingMs` before the end of the node. */
+  /** Breaks off a stream after its first event, `remainingMs` before the node exits. */
   const breakStream = async (remainingMs: number) => {
     const node = startNode()
     node.provideInitialState()
@@ -172,13 +172,13 @@
     return node
   }
 
-  // A retry was sent whatever time was left and was cut off by the end of the node, instead of resuming at another node at once.
-  test('breaks off a stream at once that a retry could not complete in time', async () => {
+  // Otherwise a retry would be cut off when the node exits, while the stream could have been resumed at another node at once.
+  test('breaks off a stream at once when a retry could not complete it in time', async () => {
     const node = await breakStream(TIMEOUT_MS - 1_000)
     expect([node.sent, node.answers]).toEqual([['r1'], ['broken off']])
   })
 
-  test('retries a stream whose deadline lies before the end of the node', async () => {
+  test('retries a stream whose deadline is before the node exits', async () => {
     const node = await breakStream(TIMEOUT_MS + 100)
     expect([node.sent, node.answers]).toEqual([['r1', 'r1'], []])
   })
--- a/src/services/instanceHealth/index.ts
+++ b/src/services/instanceHealth/index.ts
@@ -28,7 +28,7 @@
 
 type Activity = { openRequests: number, idleSince: number }
 
-/** Interval at which suspended servers whose suspension has ended are probed, in milliseconds. */
+/** Interval, in milliseconds, between checks for servers to probe: those whose suspension time has passed and that were not reached since. */
 const PROBE_TICK_MS = 200
 /** Number of unreachable servers at which the whole availability zone counts as unreachable: a single one may just be down. */
 const MINIMUM_UNREACHABLE_SERVERS = 2
--- a/src/services/membership/index.ts
+++ b/src/services/membership/index.ts
@@ -171,8 +171,9 @@
     }
   }
 
-  // Nodes with different views disagree on who watches whom. A node that correctly sends its heartbeats
-  // to others would be suspected, and the gossip about it and its refutation would keep the views different.
+  // Requests a heartbeat before a peer is suspected: nodes with different views disagree on who watches whom.
+  // A node that correctly sends its heartbeats to others would be suspected, and the gossip about it and its
+  // refutation would keep the views different.
   const requestHeartbeats = (now: number): void => {
     for (const nodeId of failureDetector.findUnresponsive(now, settings.suspectAfterMs / 2)) {
       const peer = peers.get(nodeId)
@@ -180,8 +181,8 @@
     }
   }
 
-  // When all nodes start at once, the first peer knew few members when it was queried, and
-  // gossip about every join takes many rounds.
+  // Requests the member list more than once: when all nodes start at once, the first peer
+  // knows few members yet, and gossip about every join takes many rounds.
   const requestMembers = (now: number): void => {
     if (memberRequests >= MAXIMUM_MEMBER_REQUESTS || now < startedAt + (memberRequests + 1) * MEMBER_REQUEST_INTERVAL_MS) return
     const reachable = listReachablePeers()
