--- a/src/adapters/backendHttp/index.ts
+++ b/src/adapters/backendHttp/index.ts
@@ -109,10 +109,10 @@
     const request = { requestId: 'load', url, method: 'GET', path: '/load', headers: {}, body: new Uint8Array(), timeoutMs }
     const result = await send(request, AbortSignal.timeout(timeoutMs))
     // Cancelled by the timeout above, not by a caller: for the reader of the load, the server did not answer.
-    if (!result.ok) return result.error.kind === 'cancelled' ? failure({ kind: 'noAnswer', message: 'no load report in time' }) : result
+    if (!result.ok) return result.error.kind === 'cancelled' ? failure({ kind: 'noAnswer', message: 'no load report was received before the timeout' }) : result
     const text = await readText(result.value, MAXIMUM_LOAD_REPORT_BYTES)
     const report = result.value.status === 200 && text !== undefined ? parseLoadReport(text) : undefined
-    return report === undefined ? failure({ kind: 'noAnswer', message: 'no valid load report' }) : success(report)
+    return report === undefined ? failure({ kind: 'noAnswer', message: 'the answer to GET /load is not a valid load report' }) : success(report)
   }
 
   return {
--- a/src/adapters/peerTcp/_lib/createPeerLink.ts
+++ b/src/adapters/peerTcp/_lib/createPeerLink.ts
@@ -142,7 +142,7 @@
     }
     const timer = clock.setTimer(timeoutMs, () => settle(failure({ kind: 'timeout' })))
     pending.set(id, { settle })
-    if (transmit({ id, message }) === 'unreachable') settle(failure({ kind: 'unreachable', message: 'no connection, or its queue is full' }))
+    if (transmit({ id, message }) === 'unreachable') settle(failure({ kind: 'unreachable', message: 'message not sent: no connection to the peer, or its send queue is full' }))
   })
 
   return {
@@ -151,7 +151,7 @@
     close: () => {
       idleTimer?.cancel()
       connection?.close()
-      failPending({ kind: 'unreachable', message: 'the transport was closed' })
+      failPending({ kind: 'unreachable', message: 'the peer transport was closed before the reply was received' })
     }
   }
 }
--- a/src/adapters/peerTcp/index.ts
+++ b/src/adapters/peerTcp/index.ts
@@ -156,7 +156,7 @@
     bytesSent: () => sentBytes,
     send: (to, message) => { if (!isClosed) getOrCreateLink(to).send(message) },
     request: (to, message, timeoutMs) => {
-      if (isClosed) return Promise.resolve({ ok: false, error: { kind: 'unreachable', message: 'the transport is closed' } })
+      if (isClosed) return Promise.resolve({ ok: false, error: { kind: 'unreachable', message: 'message not sent: the peer transport is closed' } })
       return getOrCreateLink(to).request(message, timeoutMs)
     },
     handle: (kind, handler) => { handlers.set(kind, handler as PeerHandler) },
--- a/src/adapters/platformHttp/_lib/sendOnce.ts
+++ b/src/adapters/platformHttp/_lib/sendOnce.ts
@@ -74,7 +74,7 @@
       bodyTimeout: 0
     }, {
       onRequestStart: (controller) => {
-        if (isFinished) return controller.abort(new Error('timed out before it was sent'))
+        if (isFinished) return controller.abort(new Error('the request timed out before it was sent'))
         started = controller
       },
       onResponseStart: (_controller, statusCode, replyHeaders) => {
--- a/src/emulator/createInProcessFleet/_lib/createFleetSource.ts
+++ b/src/emulator/createInProcessFleet/_lib/createFleetSource.ts
@@ -95,7 +95,7 @@
 
   const failAsUnreachable = async (): Promise<Result<never, SourceError>> => {
     await wait(clock, UNREACHABLE_TIMEOUT_MS)
-    return failure({ kind: 'unavailable', message: 'cut off' })
+    return failure({ kind: 'unavailable', message: 'the node is cut off from the source' })
   }
 
   /** A reply contains the state of the source at half of the call duration. */
--- a/src/emulator/createMemoryPeerNetwork/index.ts
+++ b/src/emulator/createMemoryPeerNetwork/index.ts
@@ -92,7 +92,7 @@
 
   const request = (from: PeerAddress, to: PeerAddress, message: PeerMessage, timeoutMs: number): Promise<Result<PeerReply, PeerError>> =>
     new Promise((resolve) => {
-      if (!endpoints.has(formatAddress(to))) return resolve(failure({ kind: 'unreachable', message: 'nothing listens there' }))
+      if (!endpoints.has(formatAddress(to))) return resolve(failure({ kind: 'unreachable', message: 'connection refused: no node listens on this address' }))
       const timer = clock.setTimer(timeoutMs, () => resolve(failure({ kind: 'timeout' })))
       const settle = (frame: Frame): void => {
         timer.cancel()
--- a/src/load/planLoad/_lib/createChoice.ts
+++ b/src/load/planLoad/_lib/createChoice.ts
@@ -19,7 +19,7 @@
     total += weigh(value)
     return total
   })
-  if (!(total > 0)) throw new Error('a choice needs a value with a weight above 0')
+  if (!(total > 0)) throw new Error('a weighted choice needs at least one value with a weight above 0')
   return (random) => values[findFirstAbove(bounds, random.next() * total)]!
 }
 
--- a/src/services/dispatch/test.ts
+++ b/src/services/dispatch/test.ts
@@ -42,12 +42,12 @@
     sent,
     client: {
       send: async (request) => {
-        if (request.method === 'DELETE') return failure({ kind: 'notSent', message: 'not scripted' })
+        if (request.method === 'DELETE') return failure({ kind: 'notSent', message: 'the test client sends no DELETE requests' })
         const fault = script[sent.length] ?? 'whole'
         sent.push(fault)
         return faults[fault](request, hangUp)
       },
-      readLoad: async () => failure({ kind: 'notSent', message: 'not scripted' }),
+      readLoad: async () => failure({ kind: 'notSent', message: 'the test client reads no load reports' }),
       close: async () => {}
     }
   }
