--- a/src/adapters/backendHttp/_lib/createExchange.ts
+++ b/src/adapters/backendHttp/_lib/createExchange.ts
@@ -74,7 +74,7 @@
   const queue = createBodyQueue({
     pause: () => controller?.pause(),
     resume: () => controller?.resume(),
-    abandon: () => abort(new Error('the reader stopped reading the answer'))
+    abandon: () => abort(new Error('the reader left the answer'))
   })
 
   /**
--- a/src/adapters/platformHttp/_lib/sendOnce.ts
+++ b/src/adapters/platformHttp/_lib/sendOnce.ts
@@ -74,7 +74,7 @@
       bodyTimeout: 0
     }, {
       onRequestStart: (controller) => {
-        if (isFinished) return controller.abort(new Error('the request timed out before it was sent'))
+        if (isFinished) return controller.abort(new Error('given up before it was sent'))
         started = controller
       },
       onResponseStart: (_controller, statusCode, replyHeaders) => {
@@ -84,7 +84,7 @@
       onResponseData: (_controller, chunk) => {
         chunks.push(chunk)
         size += chunk.byteLength
-        if (size > MAXIMUM_REPLY_BYTES) failAndAbort('the reply exceeds the size limit')
+        if (size > MAXIMUM_REPLY_BYTES) failAndAbort('the reply is too large')
       },
       onResponseEnd: () => finish(success({ status, headers, body: Buffer.concat(chunks) })),
       onResponseError: (_controller, error) => fail(error.message)
--- a/src/adapters/platformHttp/index.ts
+++ b/src/adapters/platformHttp/index.ts
@@ -136,7 +136,7 @@
 const parseJson = <Value>(body: Buffer, schema: z.ZodType<Value>): Result<Value, PlatformError> => {
   try {
     const parsed = schema.safeParse(JSON.parse(body.toString('utf8')))
-    return parsed.success ? success(parsed.data) : failure({ kind: 'unavailable', message: 'the reply does not match its documented schema' })
+    return parsed.success ? success(parsed.data) : failure({ kind: 'unavailable', message: 'the reply has another shape than documented' })
   } catch {
     return failure({ kind: 'unavailable', message: 'the reply is not JSON' })
   }
--- a/src/services/dispatch/_lib/runAttempt.ts
+++ b/src/services/dispatch/_lib/runAttempt.ts
@@ -21,7 +21,7 @@
 const sendFailures: { readonly [Kind in BackendError['kind']]: (error: Extract<BackendError, { kind: Kind }>) => AttemptEnd } = {
   notSent: ({ message }) => ({ kind: 'failed', attempt: createFailedAttempt('notSent'), message, outcome: 'notSent' }),
   noAnswer: ({ message }) => ({ kind: 'failed', attempt: createFailedAttempt('written', 'cut'), message, outcome: 'failed' }),
-  cancelled: () => ({ kind: 'failed', attempt: createFailedAttempt('written', 'cancelled'), message: 'the request was cancelled after it was sent' })
+  cancelled: () => ({ kind: 'failed', attempt: createFailedAttempt('written', 'cancelled'), message: 'cancelled' })
 }
 
 const describeSendFailure = (error: BackendError, watch: ReachabilityWatch): AttemptEnd => {
