--- a/src/decisions/advanceEjection/index.ts
+++ b/src/decisions/advanceEjection/index.ts
@@ -33,7 +33,7 @@
 export type EjectionLimits = {
   /** Failed attempts in a row after which the server is ejected. */
   readonly failures: number
-  /** Connections refused in a row after which the server is unreachable. */
+  /** Failed connections in a row after which the server is ejected as unreachable. */
   readonly failedConnections: number
   /** Unanswered probes in a row after which the server is ejected. */
   readonly unansweredProbes: number
--- a/src/decisions/advanceEjection/test.ts
+++ b/src/decisions/advanceEjection/test.ts
@@ -15,8 +15,8 @@
     { case: 'two failures', events: ['failed', 'failed'], phase: 'live' },
     { case: 'three failures', events: ['failed', 'failed', 'failed'], phase: 'ejected' },
     { case: 'failures with a success in between', events: ['failed', 'failed', 'complete', 'failed', 'failed'], phase: 'live' },
-    { case: 'two refused connections', events: ['notSent', 'notSent'], phase: 'ejected' },
-    { case: 'refused connections with an answered probe in between', events: ['notSent', 'probeAnswered', 'notSent'], phase: 'live' },
+    { case: 'two failed connections', events: ['notSent', 'notSent'], phase: 'ejected' },
+    { case: 'failed connections with an answered probe in between', events: ['notSent', 'probeAnswered', 'notSent'], phase: 'live' },
     { case: 'failed requests with answered probes in between', events: ['failed', 'probeAnswered', 'failed', 'probeAnswered', 'failed'], phase: 'ejected' },
     { case: 'three unanswered probes', events: ['probeUnanswered', 'probeUnanswered', 'probeUnanswered'], phase: 'ejected' },
     { case: 'documented refusals', events: ['refused', 'refused', 'refused', 'refused'], phase: 'live' },
@@ -43,7 +43,7 @@
     expect(advanceEjection(back, 'tick', 5000, LIMITS).phase).toBe('live')
   })
 
-  it('stays ejected while connections are still refused', () => {
+  it('stays ejected while connections still fail', () => {
     const ejected = advanceAll(['notSent', 'notSent'])
     expect(advanceEjection(ejected, 'notSent', 900, LIMITS).ejectedUntil).toBe(1900)
   })
--- a/src/decisions/chooseBackendServer/index.ts
+++ b/src/decisions/chooseBackendServer/index.ts
@@ -31,8 +31,8 @@
  * Only servers under their load target are considered. A chat goes to the
  * server of its placement hint; without one, a new chat goes to the least loaded
  * of its highest-ranked servers, and a returning chat to the highest-ranked. If
- * no server is under its target, which only delayed load counts can make it
- * seem, the server under the limit with the least load per weight is taken.
+ * only excluded servers are under their target, the least loaded server under the
+ * limit is taken, by load per weight.
  *
  * @param demand - The chat to place.
  * @param candidates - The servers that may get new requests, with their load.
--- a/src/decisions/compareRecords/index.ts
+++ b/src/decisions/compareRecords/index.ts
@@ -1,7 +1,7 @@
 /**
  * Computes the difference between two configurations for a peer that holds the
- * earlier one. Unchanged records are recognised by object identity, so a burst of
- * versions with hundreds of routes costs about as much as the changes in each.
+ * earlier one. Unchanged records are recognised by object identity, so that in a
+ * burst of versions with hundreds of routes the cost depends mainly on what changed.
  */
 import type { ConfigurationRecords, RecordChange, RecordStep } from '../../types/index.js'
 
--- a/src/decisions/computeRetryAfter/index.ts
+++ b/src/decisions/computeRetryAfter/index.ts
@@ -8,7 +8,7 @@
 
 /** A suspended server is tried again after 400 ms, so some servers are available by the time of the retry. */
 const MINIMUM_DELAY_MS = 250
-/** Jitter of twice the minimum delay: spreads a burst of callers enough for two or three retries. */
+/** Twice the minimum delay, which spreads a burst of callers widely enough within two or three retries. */
 const MAXIMUM_JITTER_MS = 500
 
 /** Only an operator ends a drain or adds servers to a region, so an immediate retry would be rejected again. */
--- a/src/decisions/estimateDuration/index.ts
+++ b/src/decisions/estimateDuration/index.ts
@@ -12,7 +12,7 @@
 /** Default until a stream has been observed: the time between two tokens of a heavily loaded model engine, with a margin. */
 export const DEFAULT_TOKEN_INTERVAL_MS = 10
 
-/** Safety factor: a model engine under rising load generates tokens about half as fast, and its slow streams have not ended yet. */
+/** Safety factor: a model engine under rising load generates tokens about half as fast, and its slow streams have not ended yet, so they are missing from the observed times. */
 const DURATION_SAFETY_FACTOR = 1.9
 
 /**
--- a/src/decisions/isFailoverDue/index.ts
+++ b/src/decisions/isFailoverDue/index.ts
@@ -1,6 +1,6 @@
 /**
- * Decides when a retryable request is moved from a backend server that does not
- * respond to another one: soon when the server responds to no request, later when
+ * Decides when a retryable request is moved to another backend server because its
+ * own does not respond: soon when that server responds to no request, later when
  * only this request gets no response.
  */
 
@@ -23,7 +23,7 @@
 const USUAL_TIME_MULTIPLE = 3
 /** Multiple of the target time to first byte after which a request moves although its server responds to others. */
 const REQUEST_TARGET_MULTIPLE = 1.5
-/** Multiple of the target pause between bytes after which a stream moves; callers abandon a stream after eight. */
+/** Multiple of the target pause between bytes after which a stream moves; callers abandon a stream after eight times the target. */
 const STREAM_PAUSE_MULTIPLE = 5
 
 /**
--- a/src/decisions/mergeLoadDigest/test.ts
+++ b/src/decisions/mergeLoadDigest/test.ts
@@ -58,7 +58,7 @@
   })
 
   it.each([
-    { case: 'a repeated digest', arrivals: [createDigest(1, true, 1), createDigest(2, false, 2), createDigest(2, false, 9)], inFlight: 2, hasGap: false },
+    { case: 'a duplicate digest', arrivals: [createDigest(1, true, 1), createDigest(2, false, 2), createDigest(2, false, 9)], inFlight: 2, hasGap: false },
     { case: 'a late digest', arrivals: [createDigest(1, true, 1), createDigest(3, false, 3), createDigest(2, false, 2)], inFlight: 3, hasGap: true },
     { case: 'a lost digest', arrivals: [createDigest(1, true, 1), createDigest(3, false, 3), createDigest(4, false, 4)], inFlight: 4, hasGap: true },
     { case: 'a full digest after a loss', arrivals: [createDigest(1, true, 1), createDigest(3, false, 3), createDigest(4, true, 5)], inFlight: 5, hasGap: false },
--- a/src/decisions/mergeMember/index.ts
+++ b/src/decisions/mergeMember/index.ts
@@ -10,8 +10,8 @@
  * Merges the known record of a member with a received one.
  *
  * The higher incarnation wins. Within one incarnation the worse state wins, so
- * that only the member itself, with a higher incarnation, can revoke a
- * suspicion or a leaving mark; and the generation only grows. The merge is
+ * that only the member itself, with a higher incarnation, can revoke the state
+ * `suspect`, `leaving` or `dead`; and the generation only grows. The merge is
  * commutative, associative and idempotent.
  *
  * @param known - The current record; `undefined` when the member is new here.
--- a/src/decisions/parseSheet/_lib/readCells.ts
+++ b/src/decisions/parseSheet/_lib/readCells.ts
@@ -8,7 +8,7 @@
 
 export type CellReader = {
   readonly readName: (column: SheetColumn) => string
-  /** Which one of two columns a row fills. The first when neither is filled; both filled is a problem. */
+  /** Returns which of two columns the row fills; the first when neither is filled. Reports a problem when both are. */
   readonly readFilledColumn: <First extends SheetColumn, Second extends SheetColumn>(first: First, second: Second) => First | Second
   readonly readModel: () => string | undefined
   readonly readPath: () => string | undefined
--- a/src/decisions/rankMembers/index.ts
+++ b/src/decisions/rankMembers/index.ts
@@ -1,6 +1,6 @@
 /**
  * Ranks routers by rendezvous hashing, to find the router that is responsible for
- * a key and its successors. All routers with the same view agree without communication.
+ * a key and the next ones in rank. All routers with the same view agree without communication.
  */
 import { hashText } from '../../hashing/index.js'
 import type { Member } from '../../types/index.js'
--- a/src/decisions/selectHeartbeatTargets/index.ts
+++ b/src/decisions/selectHeartbeatTargets/index.ts
@@ -11,7 +11,7 @@
   readonly fullMeshPeers: number
   /** Number of watchers in the router's own zone. */
   readonly zoneWatchers: number
-  /** Number of watchers in other zones, which detect that a complete zone is not responding. */
+  /** Number of watchers in other zones, which detect that an entire zone is not responding. */
   readonly remoteWatchers: number
   readonly randomZonePeers: number
   readonly randomRemotePeers: number
--- a/src/decisions/selectNextAccount/index.ts
+++ b/src/decisions/selectNextAccount/index.ts
@@ -5,7 +5,7 @@
   readonly clientAccount: string
   /** Its share relative to those of other accounts. Greater than 0. */
   readonly weight: number
-  /** Recent work of the complete fleet for the account, in tokens. */
+  /** Recent work of the whole fleet for the account, in tokens. */
   readonly usage: number
   /** Arrival time of its oldest waiting request, in monotonic milliseconds. */
   readonly waitingSince: number
--- a/src/decisions/selectPlacement/index.ts
+++ b/src/decisions/selectPlacement/index.ts
@@ -76,7 +76,7 @@
   homeCreditShare: 0.5
 }
 
-/** The highest-ranked by rendezvous hashing: nodes with the same candidates find the same one, and it changes only when it leaves or a higher-ranked one joins. */
+/** Finds the highest-ranked candidate by rendezvous hashing. Nodes with the same candidates find the same one, and it changes only when it leaves or a higher-ranked one joins. */
 const findHome = (affinityKey: string, candidates: readonly InstanceCandidate[]): InstanceCandidate | undefined => {
   if (affinityKey === '') return undefined
   const seed = hashText(affinityKey)
--- a/src/types/gatewaySettings.ts
+++ b/src/types/gatewaySettings.ts
@@ -13,7 +13,7 @@
   readonly fleetKey: string
   /** CPU available to this node in thousandths of a core; omitted when unknown. */
   readonly millicores?: number
-  /** Whether the complete deployment starts for the first time, so that all prompt caches are empty. */
+  /** Whether the entire deployment starts for the first time, so that all prompt caches are empty. */
   readonly isFirstStart: boolean
   /** Milliseconds from the shutdown signal until the process is killed. */
   readonly graceMs: number
--- a/src/types/peer.ts
+++ b/src/types/peer.ts
@@ -69,7 +69,7 @@
   readonly inFlight: Uint8Array | Uint16Array
 }
 
-/** Records whether a backend server is leaving. Only a mark with a higher epoch replaces it. */
+/** Records whether a backend server is leaving. A mark with a higher epoch replaces it; within one epoch, leaving wins. */
 export type LeavingMark = {
   readonly backendServer: string
   readonly epoch: number
--- a/src/types/services.ts
+++ b/src/types/services.ts
@@ -139,8 +139,8 @@
 
 /**
  * Chooses the backend server of one attempt. The caller counts the attempt in
- * the load view before anything else runs, so that a burst of requests does
- * not choose on the same counts.
+ * the load view before anything else runs, so that each request of a burst is
+ * placed with the earlier ones counted.
  */
 export type BackendPlacement = {
   readonly choose: (demand: PlacementDemand) => Placement
