--- a/src/decisions/evaluateRollout/test.ts
+++ b/src/decisions/evaluateRollout/test.ts
@@ -30,7 +30,7 @@
     ['a dead peer while the VM list is not known', { state: 'dead' }, undefined, 'unconfirmed', false],
     ['a dead peer that is still in the VM list, as in a partitioned zone', { state: 'dead' }, [createVm(1), createVm(2)], 'unconfirmed', false],
     ['a dead peer whose VM is no longer listed', { state: 'dead' }, [createVm(1)], 'gone', true]
-  ])('evaluates %s that was not queried', (_, changes, vms, state, isInForceEverywhere) => {
+  ])('evaluates a router that was not queried: %s', (_, changes, vms, state, isInForceEverywhere) => {
     const rollout = evaluateRollout(3, [createAnswer(1, { members: [createMember(1), createMember(2, changes)] })], vms)
     expect(rollout.nodes[1]).toMatchObject({ node: 'router-2', state })
     expect(rollout.isInForceEverywhere).toBe(isInForceEverywhere)
--- a/src/decisions/grantRetry/test.ts
+++ b/src/decisions/grantRetry/test.ts
@@ -22,7 +22,7 @@
     expect(grantRetry(spent, limits, 1, 10_001)).toBe(true)
   })
 
-  // Guards against a service that fails for all nodes receiving more retries than the budget of the fleet.
+  // When a service fails for all nodes, their retries together must not exceed the budget of the fleet.
   test('keeps the fleet within its budget in every window for any sequence of requests', () => {
     const send = fc.record({ node: fc.integer({ min: 0, max: 5 }), gapMs: fc.integer({ min: 0, max: 400 }), wantedRetries: fc.integer({ min: 0, max: 3 }) })
     fc.assert(fc.property(fc.array(send, { maxLength: 300 }), (sends) => {
--- a/src/decisions/matchRoute/test.ts
+++ b/src/decisions/matchRoute/test.ts
@@ -19,7 +19,7 @@
     ['/SHOP/Orders', '/shop/orders'],
     ['/shopping', undefined],
     ['/', undefined]
-  ])('finds for %s the route %s', (path, name) => {
+  ])('matches %s to route %s', (path, name) => {
     expect(matchRoute(ROUTES, path)?.name).toBe(name)
   })
 
--- a/src/decisions/measureAge/test.ts
+++ b/src/decisions/measureAge/test.ts
@@ -8,7 +8,7 @@
 describe('measureAge', () => {
   test('is the time that passed', () => expect(measure(at(0, 1_000, 50), at(400, 1_400, 450))).toBe(400))
 
-  // Otherwise a key that was revoked while the VM was suspended would count as confirmed just now.
+  // Otherwise a key that was revoked while the VM was suspended would count as recently confirmed.
   test('includes the time for which the VM was suspended', () => expect(measure(at(0, 0, 0), at(10, 5_010, 5_010))).toBe(5_010))
 
   test('includes that time also when the wall clock was set back while the VM was suspended', () => expect(measure(at(0, 0, 0), at(10, 10 - 3_000, 5_010))).toBe(5_010))
--- a/src/decisions/selectPlacement/test.ts
+++ b/src/decisions/selectPlacement/test.ts
@@ -100,7 +100,7 @@
     expect(selectPlacement(createInput(), kept, kept.filter(({ id }) => id === home), fixedRandom)).toEqual({ id: home, copyFrom: undefined })
   })
 
-  // The data of a copy between zones crosses zones, so it costs twice as much.
+  // A copy from another zone also transfers data between zones, so it costs twice as much.
   test('copies from a server of the same zone, though a server of another zone caches slightly more', () => {
     const copySources = [createCandidate('far', { availabilityZone: 'b', cachedPromptTokens: 8_000, load: 40 }), createCandidate('near', { cachedPromptTokens: 7_800, load: 40 })]
     const free = createCandidate('free', { load: 0 })
--- a/src/decisions/splitSheetIntoChunks/test.ts
+++ b/src/decisions/splitSheetIntoChunks/test.ts
@@ -56,7 +56,7 @@
 
 describe('decodeChunk', () => {
   it.each([
-    ['no JSON', 'x'],
+    ['text that is not JSON', 'x'],
     ['a later format', '{"format":2,"records":[]}'],
     ['an unknown record', '{"format":1,"records":[["tills",{"name":"a"}]]}'],
     ['a record without its fields', '{"format":1,"records":[["services",{"name":"a"}]]}']
