--- a/scripts/upgrade/checkRouters.mjs
+++ b/scripts/upgrade/checkRouters.mjs
@@ -79,7 +79,7 @@
     const seeds = started.map(({ ready }) => String(ready.peer).replace(/^\w+:\/\//, '')).join(',')
     const router = await startDaemon(builds[build], [
       'router', '--node-id', `${build}-${index}`, '--availability-zone', ZONES[index % 2], '--platform-url', url, '--seed-peers', seeds,
-      '--caller-port', '0', '--operator-port', '0', '--peer-port', '0', '--shutdown-delay-ms', '100', '--watch-timeout-ms', '2000'
+      '--caller-port', '0', '--operator-port', '0', '--peer-port', '0', '--shutdown-delay-ms', '100', '--watch-timeout-ms', '2000', '--log-level', 'debug'
     ], SECRETS)
     started.push(router)
     return { ...router, name: `${build}-${index}` }
