--- a/src/adapters/operatorClient/index.ts
+++ b/src/adapters/operatorClient/index.ts
@@ -62,7 +62,7 @@
         const text = await reply.body.text()
         if (reply.statusCode !== 200) return failure(describeStatus(reply.statusCode))
         const parsed = status.safeParse(JSON.parse(text))
-        return parsed.success ? success(parsed.data as unknown as NodeStatus) : failure('the answer is not a valid router status')
+        return parsed.success ? success(parsed.data as unknown as NodeStatus) : failure('answered with something else than a router status')
       } catch (error) {
         return failure(error instanceof Error ? describeError(error) : String(error))
       }
--- a/src/decisions/editPlannedStop/index.ts
+++ b/src/decisions/editPlannedStop/index.ts
@@ -50,7 +50,7 @@
   const plannedStops = withoutDrain(sheet, backendServer)
   if (plannedStops.length < sheet.plannedStops.length) return success({ ...sheet, plannedStops })
   const others = plannedStops.filter((stop) => stop.backendServer === backendServer).map(({ name }) => name)
-  const hint = others.length === 0 ? '' : `; the sheet has planned stops ${others.join(', ')}, which can only be removed by applying a new sheet`
+  const hint = others.length === 0 ? '' : `; the sheet plans ${others.join(', ')}, which a new sheet must take out`
   return failure({ kind: 'noDrain', message: `backend server "${backendServer}" has no drain to cancel${hint}` })
 }
 
--- a/src/decisions/evaluateRollout/index.ts
+++ b/src/decisions/evaluateRollout/index.ts
@@ -68,17 +68,17 @@
 
 const evaluateReport = (generation: number, { nodeId: node, availabilityZone, generation: current, pending }: RouterReport): NodeRollout => {
   if (current >= generation) return { node, availabilityZone, state: 'inForce', generation: current, detail: pending === undefined ? '' : pending.reason }
-  const detail = pending === undefined ? 'has not received it' : pending.reason
+  const detail = pending === undefined ? 'has not heard of it' : pending.reason
   return { node, availabilityZone, state: 'behind', generation: current, detail }
 }
 
 const memberEvaluators: Readonly<Record<Member['state'], (generation: number, member: Member, vms: readonly Vm[] | undefined) => Pick<NodeRollout, 'state' | 'detail'>>> = {
-  live: (generation, member) => evaluateReportedGeneration(generation, member, 'not queried; live according to its peers'),
-  leaving: (generation, member) => evaluateReportedGeneration(generation, member, 'not queried; leaving'),
-  suspect: () => ({ state: 'unconfirmed', detail: 'unreachable: its peers suspect that it is down or partitioned' }),
+  live: (generation, member) => evaluateReportedGeneration(generation, member, 'not asked; live to its peers'),
+  leaving: (generation, member) => evaluateReportedGeneration(generation, member, 'not asked; leaving'),
+  suspect: () => ({ state: 'unconfirmed', detail: 'unreachable: its peers suspect that it is down or cut off' }),
   dead: (_, member, vms) => {
-    if (vms !== undefined && !vms.some((vm) => isVmOf(vm, member))) return { state: 'gone', detail: 'dead according to its peers and no longer in the VM list' }
-    return { state: 'unconfirmed', detail: 'unreachable: dead according to its peers; it may be down or in a partitioned zone' }
+    if (vms !== undefined && !vms.some((vm) => isVmOf(vm, member))) return { state: 'gone', detail: 'dead to its peers and no longer in the VM list' }
+    return { state: 'unconfirmed', detail: 'unreachable: dead to its peers; it may be down or in a zone that is cut off' }
   }
 }
 
@@ -102,7 +102,7 @@
 /** Lists each queried router that did not answer under its URL, since its node id is not known. */
 const listUnreachableRouters = (answers: readonly RouterAnswer[], reported: number): readonly NodeRollout[] => answers.flatMap((answer): readonly NodeRollout[] => {
   if (answer.kind === 'answered') return []
-  const detail = `unreachable: ${answer.message}${reported === 0 ? '' : '; it is also listed by its node id if its peers know it'}`
+  const detail = `unreachable: ${answer.message}${reported === 0 ? '' : '; its node stands under its own name if its peers know it'}`
   return [{ node: answer.url, availabilityZone: '', state: 'unconfirmed', detail }]
 })
 
--- a/src/services/configurationStore/_lib/writeRoot.ts
+++ b/src/services/configurationStore/_lib/writeRoot.ts
@@ -58,7 +58,7 @@
   if (winner.applyId === root.applyId) return { kind: 'accepted' }
   if (winner.history.some(({ applyId }) => applyId === root.applyId)) return { kind: 'accepted', replacedBy: winner }
   if (!wasLost || doesHistoryReach(winner, root.generation)) return { kind: 'lost', winner }
-  return { kind: 'unknown', message: `generation ${winner.generation} is in force and its history does not reach back to generation ${root.generation}` }
+  return { kind: 'unknown', message: `generation ${winner.generation} is in force and no longer remembers generation ${root.generation}` }
 }
 
 /** Checks whether the history reaches back far enough to show which apply created a generation. */
